--- a/gateway/src/main/java/org/lockdale/gateway/placement/BackendChooser.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/BackendChooser.java
@@ -16,10 +16,10 @@
 import org.lockdale.gateway.cache.PrefixNeed;
 
 /**
- * Chooses the back end with the least estimated cost. For a prompt the cost is counted in tokens:
- * what waits before it, and what of it has to be computed or fetched. A new prefix goes to its
- * home, the first engine in its rendezvous order; since all nodes know the same homes, it is
- * computed once, without a message.
+ * Chooses the backend with the lowest estimated cost. For a prompt the cost is counted in tokens:
+ * the work queued ahead of it, and the part of it that has to be computed or fetched. A new prefix
+ * goes to its home, the engine that ranks first for it by rendezvous hashing. All nodes derive the
+ * same home without exchanging messages, so the prefix is computed only once.
  */
 public final class BackendChooser {
 
@@ -27,158 +27,165 @@
   private static final double FETCH_COST = 0.1;
 
   /**
-   * Cost of computing a new prefix elsewhere than at its home, relative to computing it: another
-   * node that has not heard of it yet would compute it once more.
+   * Extra cost of computing a new prefix elsewhere than at its home, relative to computing it: a
+   * node that has not learned of this yet would have the home compute it again.
    */
-  private static final double NOT_HOME_COST = 0.4;
+  private static final double NON_HOME_COST = 0.4;
 
-  /** Cost of computing a token that another engine is computing, relative to computing it. */
+  /**
+   * Cost of computing a token that another engine is already computing, relative to computing it.
+   */
   private static final double RECOMPUTE_COST = 3.0;
 
-  /** Cost of a running token, which takes memory but little time. */
+  /** Cost of a token of a running request, which takes up memory but little time. */
   private static final double RUNNING_COST = 0.05;
 
   /** Cost of an open request, in tokens. */
   private static final double REQUEST_COST = 50;
 
   /**
-   * Cost of waiting for a place, in tokens: more than that of an engine which is preferred for
-   * prompts of the other length. Without it prompts go to engines with all of their places taken
-   * while others have free ones.
+   * Cost of waiting for a free slot, in tokens. It exceeds {@link #NON_PREFERRED_COST}, since
+   * otherwise prompts are queued at engines without a free slot while engines of the other set have
+   * free ones.
    */
-  private static final double FULL_COST = 8_000;
+  private static final double NO_FREE_SLOT_COST = 8_000;
 
-  /** Cost of each request that waits for a place already, in tokens. */
+  /** Cost of each request that already waits for a slot, in tokens. */
   private static final double QUEUED_COST = 200;
 
-  /** Cost of crossing zones, in tokens. */
+  /** Cost of sending a request to another zone, in tokens. */
   private static final double REMOTE_ZONE_COST = 60;
 
   /** Cost of a failure rate of 1, in tokens. */
   private static final double FAILURE_COST = 20_000;
 
-  /** Cost of a request without a prompt, in tokens. */
-  private static final double PLAIN_REQUEST_COST = 100;
+  /** Cost of an open request at a backend, in tokens, when a request without a prompt is placed. */
+  private static final double PROMPTLESS_REQUEST_COST = 100;
 
-  /** Cost of serving a prompt at an engine that is preferred for prompts of the other length. */
-  private static final double OTHER_SET_COST = 4_000;
+  /** Cost of serving a prompt at an engine preferred for prompts of the other length, in tokens. */
+  private static final double NON_PREFERRED_COST = 4_000;
 
   /**
-   * Cost of serving on replaced weights, in tokens, besides that of the other set. An answer on
-   * them is worth a fifth less, a late one two thirds less, so the engines with new weights are
-   * filled first, up to a short queue. They take the load off the others meanwhile, which then move
-   * sooner.
+   * Cost of serving with outdated weights, in tokens, in addition to {@link #NON_PREFERRED_COST}. A
+   * response computed with outdated weights loses a fifth of its value, a late one two thirds, so
+   * engines with current weights are filled first, up to a short queue. This also takes load off
+   * the other engines, which can then move to the new weights sooner.
    */
   private static final double OUTDATED_COST = 4_000;
 
   /**
-   * Engines with new weights go first once they are one in this many. A rollout moves a third at
-   * once; where engines crash or carry orders out late, the few that have moved would get all
-   * prompts, keep none of their places, and lose all streams with the next crash.
+   * Engines with current weights are preferred once they make up at least one in this many. A
+   * rollout moves a third of the engines at once. Where engines crash or carry out orders late,
+   * fewer have moved; these few would receive all prompts, run out of free slots, and lose all
+   * streams with the next crash.
    */
-  private static final int LEAST_CURRENT_PART = 4;
+  private static final int MIN_CURRENT_DIVISOR = 4;
 
-  private static final double TIE_BREAK = 1.0;
+  /** Upper bound of the random cost that spreads requests over equally cheap backends. */
+  private static final double MAX_TIE_BREAK_COST = 1.0;
 
   private final RemoteLoads remoteLoads;
-  private final PromptMix mix = new PromptMix();
+  private final PromptLengthMix mix = new PromptLengthMix();
 
   /**
    * Creates a chooser.
    *
-   * @param remoteLoads work of other nodes at the back ends
+   * @param remoteLoads work that other nodes have at the backends
    */
   public BackendChooser(RemoteLoads remoteLoads) {
     this.remoteLoads = remoteLoads;
   }
 
   /**
-   * Chooses a back end.
+   * Chooses a backend.
    *
-   * @param request what it is chosen for
-   * @param nowMillis monotonic time
-   * @return the choice, or empty where there is no candidate
+   * @param request the request to place and its candidates
+   * @param nowMillis monotonic time in milliseconds
+   * @return the backend, or empty where no candidate is available
    */
   public Optional<TrackedBackend> choose(PlacementRequest request, long nowMillis) {
     List<TrackedBackend> usable = new ArrayList<>(request.candidates().size());
     List<TrackedBackend> ejected = new ArrayList<>();
-    boolean allRest = true;
+    boolean noneHealthy = true;
     for (TrackedBackend candidate : request.candidates()) {
       if (!candidate.isAmong(request.excluded())) {
         boolean isEjected = candidate.health().isEjected(nowMillis);
         (isEjected ? ejected : usable).add(candidate);
-        allRest &= isEjected || request.resting().test(candidate);
+        noneHealthy &= isEjected || request.resting().test(candidate);
       }
     }
-    List<TrackedBackend> choice = usable;
-    if (allRest) {
-      // With no back end known to be sound, one that may have recovered is better than none; one
-      // that wants a rest has said so itself.
-      choice.addAll(ejected);
+    List<TrackedBackend> considered = usable;
+    if (noneHealthy) {
+      // Without a backend known to be healthy, one that may have recovered is better than none. One
+      // that is backing off has asked for it itself, so it stays excluded.
+      considered.addAll(ejected);
     }
-    List<TrackedBackend> open = openOf(choice, request.atRate().or(request.resting()));
+    List<TrackedBackend> available = without(considered, request.atRate().or(request.resting()));
     PromptPlacement prompt = request.prompt();
     return prompt == null
-        ? least(open, candidate -> plainCost(candidate, request.zone(), nowMillis))
-        : cheapest(choice, open, request, prompt, nowMillis);
+        ? cheapest(available, candidate -> promptlessCost(candidate, request.zone(), nowMillis))
+        : cheapestForPrompt(considered, available, request, prompt, nowMillis);
   }
 
-  /** Mostly no back end is closed, and each decision would make a list in vain. */
-  private static List<TrackedBackend> openOf(
-      List<TrackedBackend> choice, Predicate<TrackedBackend> closed) {
-    for (TrackedBackend candidate : choice) {
-      if (closed.test(candidate)) {
-        List<TrackedBackend> open = new ArrayList<>(choice);
-        open.removeIf(closed);
-        return open;
+  /**
+   * Returns the candidates that are not unavailable. The list is copied only where it has to be:
+   * usually all candidates are available, and a copy for each decision would be wasted.
+   */
+  private static List<TrackedBackend> without(
+      List<TrackedBackend> candidates, Predicate<TrackedBackend> isUnavailable) {
+    for (TrackedBackend candidate : candidates) {
+      if (isUnavailable.test(candidate)) {
+        List<TrackedBackend> available = new ArrayList<>(candidates);
+        available.removeIf(isUnavailable);
+        return available;
       }
     }
-    return choice;
+    return candidates;
   }
 
-  private Optional<TrackedBackend> cheapest(
-      List<TrackedBackend> choice,
-      List<TrackedBackend> open,
+  private Optional<TrackedBackend> cheapestForPrompt(
+      List<TrackedBackend> considered,
+      List<TrackedBackend> available,
       PlacementRequest request,
       PromptPlacement prompt,
       long nowMillis) {
-    double shortShare = mix.shareAfter(request.pool(), prompt);
-    List<TrackedBackend> current = new ArrayList<>(choice);
+    double shortShare = mix.recordAndGetShortShare(request.pool(), prompt);
+    List<TrackedBackend> current = new ArrayList<>(considered);
     current.removeIf(request.outdated());
-    boolean currentFirst = current.size() * LEAST_CURRENT_PART >= choice.size();
+    boolean currentFirst = current.size() * MIN_CURRENT_DIVISOR >= considered.size();
     List<TrackedBackend> preferred =
-        EngineSets.split(currentFirst ? current : choice, shortShare).preferredFor(prompt);
-    Set<TrackedBackend> inSet = new HashSet<>(preferred);
+        EnginePartition.split(currentFirst ? current : considered, shortShare).preferredFor(prompt);
+    Set<TrackedBackend> preferredSet = new HashSet<>(preferred);
     TrackedBackend home = home(preferred, prompt.affinityKey());
-    return least(
-        open,
+    return cheapest(
+        available,
         candidate ->
             promptCost(candidate, request.needOf().apply(candidate), candidate == home)
                 + sharedCost(candidate, request.zone(), nowMillis)
-                + (inSet.contains(candidate) ? 0 : OTHER_SET_COST)
+                + (preferredSet.contains(candidate) ? 0 : NON_PREFERRED_COST)
                 + (currentFirst && request.outdated().test(candidate) ? OUTDATED_COST : 0));
   }
 
-  private static Optional<TrackedBackend> least(
-      List<TrackedBackend> choice, ToDoubleFunction<TrackedBackend> costOf) {
+  private static Optional<TrackedBackend> cheapest(
+      List<TrackedBackend> candidates, ToDoubleFunction<TrackedBackend> costOf) {
     TrackedBackend best = null;
-    double leastCost = Double.MAX_VALUE;
-    for (TrackedBackend candidate : choice) {
+    double lowestCost = Double.MAX_VALUE;
+    for (TrackedBackend candidate : candidates) {
       double cost = costOf.applyAsDouble(candidate);
-      if (cost < leastCost) {
+      if (cost < lowestCost) {
         best = candidate;
-        leastCost = cost;
+        lowestCost = cost;
       }
     }
     return Optional.ofNullable(best);
   }
 
-  private double plainCost(TrackedBackend candidate, String zone, long nowMillis) {
-    return workAt(candidate).openRequests() * PLAIN_REQUEST_COST
+  private double promptlessCost(TrackedBackend candidate, String zone, long nowMillis) {
+    return workAt(candidate).openRequests() * PROMPTLESS_REQUEST_COST
         + sharedCost(candidate, zone, nowMillis);
   }
 
-  /** Returns the prompt tokens that wait at a back end, of the requests of all nodes. */
+  /** Returns the prompt tokens that wait at a backend, of the requests of all nodes. */
   long waitingTokens(TrackedBackend candidate) {
     return workAt(candidate).waitingTokens();
   }
@@ -194,32 +201,32 @@
             + work.runningTokens() * RUNNING_COST
             + work.openRequests() * REQUEST_COST;
     double compute =
-        need.unknown() * (isHome ? 1 : 1 + NOT_HOME_COST) + need.recomputed() * RECOMPUTE_COST;
-    return queue + placeCost(candidate, work) + compute + need.fetchable() * FETCH_COST;
+        need.unknown() * (isHome ? 1 : 1 + NON_HOME_COST) + need.recomputed() * RECOMPUTE_COST;
+    return queue + slotCost(candidate, work) + compute + need.fetchable() * FETCH_COST;
   }
 
-  private static double placeCost(TrackedBackend candidate, BackendWork work) {
+  private static double slotCost(TrackedBackend candidate, BackendWork work) {
     int queued = work.openRequests() - candidate.backend().slots();
-    return queued < 0 ? 0 : FULL_COST + queued * QUEUED_COST;
+    return queued < 0 ? 0 : NO_FREE_SLOT_COST + queued * QUEUED_COST;
   }
 
   private static double sharedCost(TrackedBackend candidate, String zone, long nowMillis) {
     double zoneCost = candidate.backend().zone().equals(zone) ? 0 : REMOTE_ZONE_COST;
     return zoneCost
         + candidate.health().failureRate(nowMillis) * FAILURE_COST
-        + ThreadLocalRandom.current().nextDouble(TIE_BREAK);
+        + ThreadLocalRandom.current().nextDouble(MAX_TIE_BREAK_COST);
   }
 
   private static @Nullable TrackedBackend home(List<TrackedBackend> candidates, long affinityKey) {
     TrackedBackend best = null;
     for (TrackedBackend candidate : candidates) {
-      boolean better =
+      boolean ranksHigher =
           best == null
               || Long.compareUnsigned(
                       Rendezvous.weight(affinityKey, candidate.identity()),
                       Rendezvous.weight(affinityKey, best.identity()))
                   > 0;
-      best = better ? candidate : best;
+      best = ranksHigher ? candidate : best;
     }
     return best;
   }
--- a/gateway/src/main/java/org/lockdale/gateway/placement/Placement.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/Placement.java
@@ -5,14 +5,14 @@
 import org.lockdale.gateway.cache.CacheTransfer;
 
 /**
- * Where a request is served.
+ * The backend chosen for a request.
  *
- * @param target the back end
- * @param weights version of the model's weights that it is believed to hold, or null
- * @param transfer moves of cached prompts around the request
- * @param computedTokens tokens of shared parts that the engine probably has to compute
- * @param waitingTokens prompt tokens that wait at the engine before this request
- * @param origin relay that decided, or null where this node did
+ * @param target the backend
+ * @param weights version of the model's weights that it is expected to hold, or null where unknown
+ * @param transfer transfers of cached prompts around the request
+ * @param computedTokens tokens of shared prompt parts that the engine probably has to compute
+ * @param waitingTokens prompt tokens that wait at the engine ahead of this request
+ * @param origin relay that made the decision, or null where this node did
  */
 public record Placement(
     TrackedBackend target,
@@ -23,9 +23,9 @@
     @Nullable Origin origin) {
 
   /**
-   * Where a placement comes from.
+   * The relay that made a placement.
    *
-   * @param relay id of the relay
+   * @param relay id of the relay node
    * @param number number of the placement at that relay
    */
   public record Origin(String relay, long number) {}
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PlacementDecider.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PlacementDecider.java
@@ -19,10 +19,10 @@
 import org.lockdale.gateway.rate.BackendRates;
 import org.lockdale.gateway.weights.WeightsPolicy;
 
-/** Decides from what this node believes where a request is served. */
+/** Decides where a request is served, from the state that this node knows. */
 public final class PlacementDecider {
 
-  private static final long NO_REST = Long.MAX_VALUE;
+  private static final long NO_BACKOFF = Long.MAX_VALUE;
 
   private final GatewayBlackboard blackboard;
   private final BackendChooser chooser;
@@ -33,11 +33,11 @@
   /**
    * Creates a decider.
    *
-   * @param blackboard what this node believes
-   * @param chooser weighs back ends
-   * @param cachePlanner plans moves of cached prompts
-   * @param weightsPolicy which weights may serve
-   * @param rates what may be sent to back ends that name rates
+   * @param blackboard state that this node knows
+   * @param chooser compares the costs of backends
+   * @param cachePlanner plans transfers of cached prompts
+   * @param weightsPolicy decides which versions of weights may serve
+   * @param rates limits of the requests to backends that advertise a rate limit
    */
   public PlacementDecider(
       GatewayBlackboard blackboard,
@@ -53,50 +53,61 @@
   }
 
   /**
-   * Returns where a request of this node is served. A placement at a back end that names a rate
-   * counts there from now on, whether or not the request is sent.
+   * Decides where a request of this node is served. A placement at a backend that advertises a rate
+   * limit counts towards the limit from now on, whether or not the request is sent.
+   *
+   * @param query the request to place
+   * @param nowMillis monotonic time in milliseconds
    */
   public PlacementResult decide(PlacementQuery query, long nowMillis) {
     return new Decision(query, true, nowMillis).decide();
   }
 
   /**
-   * Returns where a request of another node is served, as {@link #decide} does for this one's. The
-   * rests that back ends want of this node are none of the other's, which excludes its own.
+   * Decides where a request of another node is served, as {@link #decide} does for this node.
+   * Backoffs that backends requested from this node are ignored: they don't apply to the other
+   * node, which excludes the backends that requested one from it.
+   *
+   * @param query the request to place
+   * @param nowMillis monotonic time in milliseconds
    */
   public PlacementResult decideForAnother(PlacementQuery query, long nowMillis) {
     return new Decision(query, false, nowMillis).decide();
   }
 
-  /** Returns whether a placement at a back end counts in a rate that it names. */
+  /** Returns whether a placement at a backend counts towards a rate limit that it advertises. */
   public boolean isCounted(TrackedBackend target) {
     return rates.isLimited(target.backend().id());
   }
 
   /**
-   * Counts a request that another node has placed without counting it, as one does that knows
-   * nothing of the back end's rate. Nothing is counted where it is long ago that this node heard of
-   * the rate, and the other one knows of rates: it may know that this one has ended.
+   * Counts a request that another node has placed without counting it, such as a node that doesn't
+   * know the backend's rate limit. Nothing is counted where this node has not received the rate
+   * limit recently and the other node supports rate limits: it may know that the limit no longer
+   * applies.
    *
-   * @param target where it was placed
-   * @param knowsRates whether the other node knows of rates at all
-   * @return whether it may be sent there by what this node may send by itself
+   * @param target backend at which the request was placed
+   * @param knowsRates whether the other node supports advertised rate limits
+   * @return whether the request may be sent within the share of the limit that this node holds
    */
   public boolean tryCount(TrackedBackend target, boolean knowsRates) {
     String id = target.backend().id();
     return knowsRates && !rates.wasNamedLately(id) || rates.tryTake(id);
   }
 
-  /** Returns whether a version of weights is too old for a request to begin on it now. */
+  /** Returns whether a version of weights is too old for a request to start on it now. */
   public boolean isOutdated(String model, long weights, long nowMillis) {
     Long required = weightsPolicy.requiredVersion(blackboard.weights().value(), model, nowMillis);
     return required != null && weights < required;
   }
 
   /**
-   * Returns the version that an engine has to hold when a request comes to it: what it is known to
-   * hold, else the newest. An engine of which nothing is known has just come, with the newest; if
-   * not, it turns the request away, which could begin on any version without an expected one.
+   * Returns the version that an engine has to hold when a request arrives: the version it is known
+   * to hold, else the newest. An engine whose weights are unknown has just started, with the newest
+   * ones. If it holds others after all, it rejects the request; without an expected version the
+   * request could start on any.
+   *
+   * @return the version, or null where neither is known
    */
   public @Nullable Long expectedWeights(TrackedBackend engine, String model) {
     Long held = engine.weightsOf(model);
@@ -104,24 +115,27 @@
     return held == null && newest.isPresent() ? Long.valueOf(newest.getAsLong()) : held;
   }
 
-  /** One decision; surveys of cached prompts are made once for each namespace. */
+  /** One decision. The cached prefixes are looked up once for each namespace. */
   private final class Decision {
 
     private final PlacementQuery query;
-    private final boolean isOwn;
+    private final boolean forThisNode;
     private final long nowMillis;
     private final List<TrackedBackend> candidates;
     private final Map<String, PrefixSurvey> surveys = new HashMap<>();
 
-    /** Candidates that turned out to take no more now, as another thread took the last place. */
-    private Set<TrackedBackend> takenMeanwhile = Set.of();
+    /**
+     * Candidates whose rate limit turned out to be used up, since another thread took the last
+     * request.
+     */
+    private Set<TrackedBackend> exhausted = Set.of();
 
-    /** The newest version that answers are expected to be on by now, or null for none. */
+    /** The newest version that responses should be based on by now, or null where there is none. */
     private final @Nullable Long due;
 
-    Decision(PlacementQuery query, boolean isOwn, long nowMillis) {
+    Decision(PlacementQuery query, boolean forThisNode, long nowMillis) {
       this.query = query;
-      this.isOwn = isOwn;
+      this.forThisNode = forThisNode;
       this.nowMillis = nowMillis;
       this.candidates = candidates();
       String model = query.model();
@@ -141,17 +155,17 @@
               query.excluded(),
               prompt,
               this::needOf,
-              this::isReplaced,
-              this::isAtRate,
-              this::isResting);
+              this::isBehindDueVersion,
+              this::isAtRateLimit,
+              this::isBackingOff);
       Optional<TrackedBackend> chosen = chooser.choose(request, nowMillis);
       while (chosen.isPresent() && !rates.tryTake(chosen.get().backend().id())) {
-        takenMeanwhile = with(takenMeanwhile, chosen.get());
+        exhausted = with(exhausted, chosen.get());
         chosen = chooser.choose(request, nowMillis);
       }
       return chosen.isPresent()
           ? new PlacementResult.Placed(placed(chosen.get(), prompt))
-          : noneOpen();
+          : noneAvailable();
     }
 
     private static Set<TrackedBackend> with(Set<TrackedBackend> some, TrackedBackend another) {
@@ -160,37 +174,42 @@
       return more;
     }
 
-    private boolean isAtRate(TrackedBackend candidate) {
-      return !rates.hasRoom(candidate.backend().id()) || takenMeanwhile.contains(candidate);
+    private boolean isAtRateLimit(TrackedBackend candidate) {
+      return !rates.hasRoom(candidate.backend().id()) || exhausted.contains(candidate);
     }
 
-    private boolean isResting(TrackedBackend candidate) {
-      return isOwn && candidate.rest().isOn(nowMillis);
+    private boolean isBackingOff(TrackedBackend candidate) {
+      return forThisNode && candidate.rest().isOn(nowMillis);
     }
 
-    /** A back end that takes more in a moment is better than one that is known to fail. */
-    private PlacementResult noneOpen() {
-      List<String> atRate = new ArrayList<>();
-      long restMillis = NO_REST;
+    /**
+     * Reports that no candidate is available. Retrying at a backend that accepts requests again
+     * soon is better than sending the request to one that is known to fail.
+     */
+    private PlacementResult noneAvailable() {
+      List<String> atRateLimit = new ArrayList<>();
+      long backoffMillis = NO_BACKOFF;
       for (TrackedBackend candidate : candidates) {
         if (candidate.isAmong(query.excluded())) {
           continue;
         }
-        if (isResting(candidate)) {
-          restMillis = Math.min(restMillis, candidate.rest().remainingMillis(nowMillis));
-        } else if (isAtRate(candidate)) {
-          atRate.add(candidate.backend().id());
+        if (isBackingOff(candidate)) {
+          backoffMillis = Math.min(backoffMillis, candidate.rest().remainingMillis(nowMillis));
+        } else if (isAtRateLimit(candidate)) {
+          atRateLimit.add(candidate.backend().id());
         }
       }
-      return atRate.isEmpty() && restMillis == NO_REST
+      return atRateLimit.isEmpty() && backoffMillis == NO_BACKOFF
           ? PlacementResult.NONE_LEFT
-          : new PlacementResult.NotNow(rates.comeBackMillis(query.pool(), atRate, restMillis));
+          : new PlacementResult.NotNow(
+              rates.comeBackMillis(query.pool(), atRateLimit, backoffMillis));
     }
 
     private Placement placed(TrackedBackend target, @Nullable PromptPlacement prompt) {
       long computed = prompt == null ? 0 : needOf(target).computed();
       Long weights = weightsOf(target);
-      // Without known weights nothing is moved, since the namespace could hold those of others.
+      // Without known weights nothing is transferred, since the namespace could hold prompts
+      // computed with other weights.
       CacheTransfer transfer =
           weights == null || prompt == null
               ? CacheTransfer.NONE
@@ -208,7 +227,7 @@
       List<TrackedBackend> usable = new ArrayList<>();
       for (TrackedBackend tracked : blackboard.backends().value().ofPool(query.pool())) {
         boolean serves = tracked.isServing() && !isMoving(tracked);
-        if (serves && holds(tracked, required)) {
+        if (serves && meetsRequiredVersion(tracked, required)) {
           usable.add(tracked);
         }
       }
@@ -220,7 +239,7 @@
       return model != null && blackboard.rollout().value().isMoving(tracked, model, nowMillis);
     }
 
-    private boolean holds(TrackedBackend tracked, @Nullable Long required) {
+    private boolean meetsRequiredVersion(TrackedBackend tracked, @Nullable Long required) {
       Long held = weightsOf(tracked);
       return required == null || held == null || held >= required;
     }
@@ -230,8 +249,11 @@
       return model == null ? null : expectedWeights(tracked, model);
     }
 
-    /** An engine that is behind serves on, but those with the weights that are due go first. */
-    private boolean isReplaced(TrackedBackend tracked) {
+    /**
+     * Returns whether an engine is known to hold weights older than the due version. It keeps
+     * serving, but engines with the due version are preferred.
+     */
+    private boolean isBehindDueVersion(TrackedBackend tracked) {
       Long held = weightsOf(tracked);
       return held != null && due != null && held < due;
     }
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PlacementQuery.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PlacementQuery.java
@@ -6,14 +6,15 @@
 import org.lockdale.gateway.caller.PromptPart;
 
 /**
- * What a back end is wanted for.
+ * The request for which a backend is needed.
  *
  * @param pool name of the pool
- * @param zone zone of the node that asks
+ * @param zone zone of the node that sends the request
  * @param model model of the request, or null for a request without one
- * @param isolatedTenant tenant whose cached prompts are not shared with others, or null
- * @param parts parts of the prompt, the last one the request's own; none without a prompt
- * @param excluded ids of back ends that must not be chosen
+ * @param isolatedTenant tenant whose cached prompts are not shared with others, or null for none
+ * @param parts parts of the prompt, the last of which is unique to the request; empty without a
+ *     prompt
+ * @param excluded ids of backends that must not be chosen
  */
 public record PlacementQuery(
     String pool,
@@ -23,7 +24,7 @@
     List<PromptPart> parts,
     Set<String> excluded) {
 
-  /** Copies the collections. */
+  /** Creates a query with copies of the collections. */
   public PlacementQuery {
     parts = List.copyOf(parts);
     excluded = Set.copyOf(excluded);
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PlacementRequest.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PlacementRequest.java
@@ -9,18 +9,19 @@
 import org.lockdale.gateway.cache.PrefixNeed;
 
 /**
- * What a back end is chosen for.
+ * Input of the choice of a backend: the request and the state of the candidates.
  *
  * @param pool name of the pool
  * @param zone zone of the node that sends the request
- * @param candidates back ends that may serve the request
- * @param excluded ids of back ends that were tried already
+ * @param candidates backends that may serve the request
+ * @param excluded ids of backends that must not be chosen, such as those already tried
  * @param prompt the prompt, or null for a request without one
- * @param needOf estimates what a candidate lacks of the prompt's shared parts
- * @param outdated tells candidates that may serve on weights which newer ones have replaced
- * @param atRate tells candidates that take no more now; they keep their prefixes, so that a rate
- *     that comes and goes moves none
- * @param resting tells candidates that want no request from the sending node; they keep theirs too
+ * @param needOf estimates which of the prompt's shared parts a candidate lacks
+ * @param outdated accepts candidates that may serve but hold outdated weights
+ * @param atRate accepts candidates that have reached their rate limit. They keep the prefixes they
+ *     are home to, so that a temporary limit moves none
+ * @param resting accepts candidates that requested a backoff from the sending node. They keep their
+ *     prefixes too
  */
 public record PlacementRequest(
     String pool,
@@ -33,7 +34,7 @@
     Predicate<TrackedBackend> atRate,
     Predicate<TrackedBackend> resting) {
 
-  /** Creates a request for which all candidates hold current weights and take more. */
+  /** Creates a request whose candidates all hold current weights and accept requests. */
   public PlacementRequest(
       String pool,
       String zone,
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PlacementResult.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PlacementResult.java
@@ -2,31 +2,31 @@
 
 import java.util.Optional;
 
-/** Where a request is served, or why it isn't now. */
+/** Outcome of a placement: the chosen backend, or why there is none. */
 public sealed interface PlacementResult {
 
-  /** No back end is left that could serve the request. */
+  /** No backend is left that could serve the request. */
   PlacementResult NONE_LEFT = new NoneLeft();
 
   /**
-   * A back end serves it.
+   * A backend was chosen.
    *
-   * @param placement where
+   * @param placement the chosen backend and how it is to be used
    */
   record Placed(Placement placement) implements PlacementResult {}
 
-  /** No back end is left that could serve the request. */
+  /** No backend is left that could serve the request. */
   record NoneLeft() implements PlacementResult {}
 
   /**
-   * The back ends that could serve it take no more now, by the rates that they name or since they
-   * want a rest.
+   * The backends that could serve the request accept none now: each has reached its advertised rate
+   * limit or requested a backoff.
    *
-   * @param waitMillis when to ask again, in milliseconds
+   * @param waitMillis time after which to try again, in milliseconds
    */
   record NotNow(long waitMillis) implements PlacementResult {}
 
-  /** Returns the placement, or empty where there is none. */
+  /** Returns the placement, or empty where no backend was chosen. */
   default Optional<Placement> placed() {
     return this instanceof Placed placed ? Optional.of(placed.placement()) : Optional.empty();
   }
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PlacementService.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PlacementService.java
@@ -2,12 +2,12 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** Port by which the request path learns where a request is served. */
+/** Port through which the request path has requests placed. */
 public interface PlacementService {
 
-  /** Returns where a request is served, or why it isn't now; never fails. */
+  /** Decides where a request is served; the future never completes exceptionally. */
   CompletableFuture<PlacementResult> place(PlacementQuery query);
 
-  /** Notes that a placed request counts in the load of its back end from now on. */
+  /** Records that a placed request is included in the reported load of its backend from now on. */
   void opened(Placement placement);
 }
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PromptPlacement.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PromptPlacement.java
@@ -5,18 +5,18 @@
 import org.lockdale.gateway.caller.PromptPart;
 
 /**
- * What placement needs to know of a prompt.
+ * Properties of a prompt that its placement depends on.
  *
- * @param affinityKey hash of the deepest shared part
- * @param sharedTokens tokens of the parts that other prompts share
- * @param ownTokens tokens of the last part, which is the request's own
+ * @param affinityKey hash of the deepest shared part, from which the home follows
+ * @param sharedTokens tokens of the parts shared with other prompts
+ * @param ownTokens tokens of the last part, which is unique to the request
  */
 public record PromptPlacement(long affinityKey, long sharedTokens, long ownTokens) {
 
   private static final long LONG_PROMPT_TOKENS = 4_000;
   private static final LongHashFunction HASH = LongHashFunction.xx3();
 
-  /** Returns the placement of a prompt of one part or more. */
+  /** Returns the properties of a prompt with at least one part. */
   public static PromptPlacement of(List<PromptPart> parts) {
     int last = parts.size() - 1;
     long shared = 0;
@@ -27,12 +27,12 @@
     return new PromptPlacement(HASH.hashChars(deepest.id()), shared, parts.get(last).tokens());
   }
 
-  /** Returns whether its computation would make running streams of the same engine pause. */
+  /** Returns whether computing the prompt would stall the running streams of the same engine. */
   public boolean isLong() {
     return tokens() >= LONG_PROMPT_TOKENS;
   }
 
-  /** Returns all tokens of the prompt. */
+  /** Returns the number of tokens of the whole prompt. */
   public long tokens() {
     return sharedTokens + ownTokens;
   }
--- a/gateway/src/main/java/org/lockdale/gateway/placement/SplitSelector.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/SplitSelector.java
@@ -7,8 +7,9 @@
 import org.lockdale.gateway.configuration.WeightedPool;
 
 /**
- * Spreads the requests of a route over its pools by weight. Smooth weighted round robin keeps each
- * pool's share within one request of its weight at any time. Safe for use by several threads.
+ * Distributes the requests of a route over its pools in proportion to their weights. Smooth
+ * weighted round robin keeps each pool's count of requests within one of its share at any time.
+ * Safe for use by several threads.
  */
 public final class SplitSelector {
 
--- a/gateway/src/main/java/org/lockdale/gateway/placement/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/package-info.java
@@ -1,4 +1,4 @@
-/** Choice of the back end that serves a request. */
+/** Choice of the backend that serves a request. */
 @NullMarked
 package org.lockdale.gateway.placement;
 
--- a/gateway/src/test/java/org/lockdale/gateway/placement/BackendChooserTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/placement/BackendChooserTest.java
@@ -26,7 +26,7 @@
 import org.lockdale.gateway.caller.PromptPart;
 import org.testng.annotations.Test;
 
-/** Prompts go to their home until it is busy; back ends that fail are left alone. */
+/** Checks that prompts go to their home until it is busy, and that failing backends are avoided. */
 public final class BackendChooserTest {
 
   private static final BackendChooser CHOOSER = new BackendChooser(engine -> BackendWork.NONE);
@@ -68,9 +68,10 @@
   }
 
   private static Optional<TrackedBackend> place(
-      List<TrackedBackend> engines, Set<String> tried, PromptPlacement prompt, long now) {
+      List<TrackedBackend> engines, Set<String> excluded, PromptPlacement prompt, long now) {
     return CHOOSER.choose(
-        new PlacementRequest("pool", "zone-a", engines, tried, prompt, engine -> newPrefix(prompt)),
+        new PlacementRequest(
+            "pool", "zone-a", engines, excluded, prompt, engine -> newPrefix(prompt)),
         now);
   }
 
@@ -87,7 +88,7 @@
   }
 
   @Test
-  public void aBusyHomeIsLeftForAnotherEngine() {
+  public void aBusyHomeIsAvoidedInFavourOfAnotherEngine() {
     List<TrackedBackend> engines = engines(4);
     TrackedBackend home = choose(engines, prompt("p"));
     home.load().open(20_000, 25_000);
@@ -144,7 +145,10 @@
     return CHOOSER.choose(request, 0).orElseThrow();
   }
 
-  /** In a rollout that crashes and late orders held up, few engines got all prompts. */
+  /**
+   * Guards against a few engines with current weights receiving all prompts. It came about in a
+   * rollout that was held up by crashes and by orders carried out late.
+   */
   @Test
   public void whereFewEnginesHaveCurrentWeightsPromptsGoToTheirHomes() {
     List<TrackedBackend> engines = engines(12);
@@ -157,7 +161,7 @@
   }
 
   @Test
-  public void workThatOtherNodesToldKeepsPromptsAway() {
+  public void workReportedByOtherNodesKeepsPromptsAway() {
     List<TrackedBackend> engines = engines(4);
     TrackedBackend home = choose(engines, prompt("p"));
     BackendChooser informed =
@@ -174,20 +178,20 @@
   }
 
   @Test
-  public void triedAndEjectedBackEndsAreAvoidedWhileThereAreOthers() {
+  public void excludedAndEjectedBackendsAreAvoidedWhileThereAreOthers() {
     List<TrackedBackend> engines = engines(3);
     engines.get(0).health().unreachable(0);
-    Set<String> tried = Set.of("i-1");
+    Set<String> excluded = Set.of("i-1");
     for (int request = 0; request < 20; request++) {
-      TrackedBackend chosen = place(engines, tried, prompt("p" + request), 1).orElseThrow();
+      TrackedBackend chosen = place(engines, excluded, prompt("p" + request), 1).orElseThrow();
       assertEquals(chosen.backend().id(), "i-2");
     }
     assertEquals(place(engines, Set.of("i-1", "i-2"), null, 1).orElseThrow().backend().id(), "i-0");
     assertTrue(place(engines, Set.of("i-0", "i-1", "i-2"), null, 1).isEmpty());
   }
 
-  private static Optional<TrackedBackend> placeWhile(
-      Set<TrackedBackend> resting, List<TrackedBackend> engines, PromptPlacement prompt) {
+  private static Optional<TrackedBackend> placeWithBackoff(
+      Set<TrackedBackend> backingOff, List<TrackedBackend> engines, PromptPlacement prompt) {
     PlacementRequest request =
         new PlacementRequest(
             "pool",
@@ -198,46 +202,52 @@
             engine -> newPrefix(prompt),
             engine -> false,
             engine -> false,
-            resting::contains);
+            backingOff::contains);
     return CHOOSER.choose(request, 1);
   }
 
   @Test
-  public void aBackEndThatWantsRestIsNotChosenThoughNoOtherIsSound() {
+  public void aBackendThatRequestedABackoffIsNotChosenEvenIfNoOtherIsHealthy() {
     List<TrackedBackend> engines = engines(2);
-    Set<TrackedBackend> resting = Set.of(engines.get(0));
+    Set<TrackedBackend> backingOff = Set.of(engines.get(0));
     engines.get(1).health().unreachable(0);
     for (int request = 0; request < 20; request++) {
       PromptPlacement prompt = prompt("p" + request);
-      assertEquals(placeWhile(resting, engines, prompt).orElseThrow(), engines.get(1));
+      assertEquals(placeWithBackoff(backingOff, engines, prompt).orElseThrow(), engines.get(1));
     }
-    assertTrue(placeWhile(Set.copyOf(engines), engines, null).isEmpty());
+    assertTrue(placeWithBackoff(Set.copyOf(engines), engines, null).isEmpty());
   }
 
   @Test
-  public void aRestMovesNoOtherPrefixThanThoseOfWhoRests() {
+  public void aBackoffMovesOnlyPrefixesOfTheBackendThatRequestedIt() {
     List<TrackedBackend> engines = engines(8);
     for (int prefix = 0; prefix < 50; prefix++) {
       PromptPlacement prompt = prompt("p" + prefix);
       TrackedBackend home = choose(engines, prompt);
-      Set<TrackedBackend> resting = Set.of(engines.get(0));
-      TrackedBackend chosen = placeWhile(resting, engines, prompt).orElseThrow();
+      Set<TrackedBackend> backingOff = Set.of(engines.get(0));
+      TrackedBackend chosen = placeWithBackoff(backingOff, engines, prompt).orElseThrow();
       assertTrue(home == engines.get(0) ? chosen != home : chosen == home);
     }
   }
 
   @Test
-  public void plainRequestsStayInTheZoneUntilItIsBusy() {
-    TrackedBackend near = engine("near", "zone-a");
-    TrackedBackend far = engine("far", "zone-b");
-    List<TrackedBackend> both = List.of(far, near);
-    assertEquals(place(both, Set.of(), null, 0).orElseThrow(), near);
-    near.load().open(0, 0);
-    assertEquals(place(both, Set.of(), null, 0).orElseThrow(), far);
+  public void requestsWithoutAPromptStayInTheZoneUntilItIsBusy() {
+    TrackedBackend local = engine("near", "zone-a");
+    TrackedBackend remote = engine("far", "zone-b");
+    List<TrackedBackend> both = List.of(remote, local);
+    assertEquals(place(both, Set.of(), null, 0).orElseThrow(), local);
+    local.load().open(0, 0);
+    assertEquals(place(both, Set.of(), null, 0).orElseThrow(), remote);
   }
 
-  /** Sends 93 requests a second for 20 s, each 20 ms long, and returns how many each one got. */
-  private static Map<String, Integer> sendPlain(List<TrackedBackend> backends, double... failing) {
+  /**
+   * Sends 93 requests a second, each 20 ms long, for 20 s and returns the number of requests for
+   * each backend.
+   *
+   * @param failing share of requests that fail, 0 to 1, for each backend in order
+   */
+  private static Map<String, Integer> sendWithoutPrompt(
+      List<TrackedBackend> backends, double... failing) {
     Random random = new Random(1);
     Map<String, Integer> sent = new HashMap<>();
     Deque<BackendLoad.Share> open = new ArrayDeque<>();
@@ -259,34 +269,35 @@
   }
 
   /**
-   * All back ends of a service failed some requests. The rate of one that got no requests stayed as
-   * it was after its last failure, so that 767 of 819 requests went to one of three.
+   * Guards against failure rates that never decay: where all backends fail some requests, one that
+   * gets no more requests would keep the rate of its last failure, and another one would get nearly
+   * all requests (767 of 819 with three backends).
    */
   @Test
-  public void backEndsThatFailAlikeGetAlikeShares() {
-    Map<String, Integer> sent = sendPlain(engines(3), 0.07, 0.07, 0.07);
+  public void backendsThatFailEquallyGetEqualShares() {
+    Map<String, Integer> sent = sendWithoutPrompt(engines(3), 0.07, 0.07, 0.07);
     int total = sent.values().stream().mapToInt(Integer::intValue).sum();
     int most = Collections.max(sent.values());
     assertTrue(most < 1.5 * total / 3, sent.toString());
   }
 
   @Test
-  public void aBackEndThatFailsMuchGetsFewRequests() {
-    Map<String, Integer> sent = sendPlain(engines(3), 0.45, 0, 0);
+  public void aBackendThatFailsOftenGetsFewRequests() {
+    Map<String, Integer> sent = sendWithoutPrompt(engines(3), 0.45, 0, 0);
     int total = sent.values().stream().mapToInt(Integer::intValue).sum();
     assertTrue(sent.getOrDefault("i-0", 0) < 0.05 * total, sent.toString());
   }
 
   @Test
-  public void shortAndLongPromptsAreKeptApartWhileBothCome() {
+  public void shortAndLongPromptsAreSeparatedWhileBothArrive() {
     List<TrackedBackend> engines = engines(8);
     Set<String> shortHomes = new HashSet<>();
     Set<String> longHomes = new HashSet<>();
     for (int index = 0; index < 400; index++) {
-      PromptPlacement brief =
+      PromptPlacement shortPrompt =
           PromptPlacement.of(
               List.of(new PromptPart("s" + index % 50, 100), new PromptPart("own", 300)));
-      TrackedBackend forShort = choose(engines, brief);
+      TrackedBackend forShort = choose(engines, shortPrompt);
       TrackedBackend forLong = choose(engines, prompt("p" + index % 50));
       if (index >= 100) {
         shortHomes.add(forShort.backend().id());
@@ -298,22 +309,25 @@
     assertTrue(shortHomes.stream().noneMatch(longHomes::contains));
   }
 
-  /** Streams hold their places for seconds and few tokens, so tokens alone show no full engine. */
+  /**
+   * Streams occupy slots for seconds with few tokens, so token counts alone don't show that an
+   * engine is full.
+   */
   @Test
-  public void anEngineWithoutAFreePlaceIsLeftForOneOfTheOtherSet() {
+  public void anEngineWithoutAFreeSlotIsAvoidedInFavourOfOneOfTheOtherSet() {
     List<TrackedBackend> engines = engines(8);
-    PromptPlacement brief =
+    PromptPlacement shortPrompt =
         PromptPlacement.of(List.of(new PromptPart("s", 100), new PromptPart("own", 300)));
     for (int index = 0; index < 100; index++) {
-      choose(engines, brief);
+      choose(engines, shortPrompt);
       choose(engines, prompt("p" + index));
     }
-    int places = engines.size() * engines.get(0).backend().slots();
-    for (int request = 0; request < places; request++) {
-      TrackedBackend chosen = choose(engines, brief);
+    int slots = engines.size() * engines.get(0).backend().slots();
+    for (int request = 0; request < slots; request++) {
+      TrackedBackend chosen = choose(engines, shortPrompt);
       assertTrue(
           chosen.load().openRequests() < chosen.backend().slots(),
-          "request " + request + " waits while there are free places");
+          "request " + request + " waits while there are free slots");
       chosen.load().open(0, 400).begin();
     }
   }
@@ -321,14 +335,14 @@
   @Test
   public void aSetThatIsBusyOverflowsIntoTheOther() {
     List<TrackedBackend> engines = engines(2);
-    PromptPlacement brief =
+    PromptPlacement shortPrompt =
         PromptPlacement.of(List.of(new PromptPart("s", 100), new PromptPart("own", 300)));
     for (int index = 0; index < 100; index++) {
-      choose(engines, brief);
+      choose(engines, shortPrompt);
       choose(engines, prompt("p" + index));
     }
-    TrackedBackend forShort = choose(engines, brief);
+    TrackedBackend forShort = choose(engines, shortPrompt);
     forShort.load().open(10_000, 10_000);
-    assertNotEquals(choose(engines, brief), forShort);
+    assertNotEquals(choose(engines, shortPrompt), forShort);
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/placement/PlacementDeciderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/placement/PlacementDeciderTest.java
@@ -37,7 +37,9 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Where a request may never be placed, whatever the load: over many random deployments. */
+/**
+ * Checks, over many random deployments, where a request must never be placed, whatever the load.
+ */
 public final class PlacementDeciderTest {
 
   private static final int SEEDS = 500;
@@ -59,15 +61,15 @@
     eventLoop.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  /** One random deployment: engines of all sorts, weights named at random times. */
-  private final class World {
+  /** A random deployment: engines of all kinds, and target versions set at random times. */
+  private final class Deployment {
     final Random random;
     final GatewayBlackboard blackboard = GatewayBlackboard.empty();
     final Set<String> moving = new HashSet<>();
     final Set<String> excluded = new HashSet<>();
     final PlacementDecider decider;
 
-    World(long seed) {
+    Deployment(long seed) {
       random = new Random(seed);
       List<Backend> engines = new ArrayList<>();
       int count = 1 + random.nextInt(MAX_ENGINES);
@@ -75,8 +77,8 @@
         engines.add(engine("i-" + index));
       }
       blackboard.backends().publish(BackendTable.EMPTY.with(engines), NOW);
-      engines.forEach(engine -> disturb(engine.id()));
-      nameWeights();
+      engines.forEach(engine -> disturbRandomly(engine.id()));
+      publishTargetVersions();
       CacheDirectory directory =
           new CacheDirectory(
               eventLoop, new SilentHolders(), () -> blackboard.backends().value(), List::of);
@@ -101,7 +103,7 @@
           Map.of(MODEL, 1L + random.nextInt(3)));
     }
 
-    private void disturb(String id) {
+    private void disturbRandomly(String id) {
       TrackedBackend tracked = blackboard.backends().value().find(id);
       if (random.nextInt(4) == 0) {
         excluded.add(id);
@@ -116,7 +118,7 @@
       }
     }
 
-    private void nameWeights() {
+    private void publishTargetVersions() {
       NamedWeights weights = NamedWeights.NONE;
       for (long version = 2; version <= 1 + random.nextInt(3); version++) {
         weights = weights.with(Map.of(MODEL, version), NOW - random.nextInt(20_000));
@@ -151,36 +153,39 @@
   public void noRequestGoesToAnEngineThatMustNotServeIt() {
     int placed = 0;
     for (long seed = 0; seed < SEEDS; seed++) {
-      World world = new World(seed);
-      Optional<Placement> placement = world.place();
-      boolean any = world.blackboard.backends().value().all().stream().anyMatch(world::isAllowed);
+      Deployment deployment = new Deployment(seed);
+      Optional<Placement> placement = deployment.place();
+      boolean any =
+          deployment.blackboard.backends().value().all().stream().anyMatch(deployment::isAllowed);
       assertEquals(placement.isPresent(), any, "seed " + seed);
       if (placement.isPresent()) {
         placed++;
         TrackedBackend target = placement.get().target();
-        assertTrue(world.isAllowed(target), "seed " + seed + ": " + target.backend());
+        assertTrue(deployment.isAllowed(target), "seed " + seed + ": " + target.backend());
         assertEquals(placement.get().weights(), target.weightsOf(MODEL), "seed " + seed);
       }
     }
-    assertTrue(placed > SEEDS / 2, "most deployments can serve, but only " + placed + " did");
+    assertTrue(
+        placed > SEEDS / 2,
+        "most deployments should be able to serve, but only " + placed + " did");
   }
 
   @Test
   public void aReachableEngineIsPreferredToOneThatIsNot() {
     for (long seed = 0; seed < SEEDS; seed++) {
-      World world = new World(seed);
-      boolean anySound =
-          world.blackboard.backends().value().all().stream()
-              .anyMatch(each -> world.isAllowed(each) && !each.health().isEjected(NOW));
-      Optional<Placement> placement = world.place();
-      if (anySound) {
+      Deployment deployment = new Deployment(seed);
+      boolean anyHealthy =
+          deployment.blackboard.backends().value().all().stream()
+              .anyMatch(each -> deployment.isAllowed(each) && !each.health().isEjected(NOW));
+      Optional<Placement> placement = deployment.place();
+      if (anyHealthy) {
         assertFalse(placement.orElseThrow().target().health().isEjected(NOW), "seed " + seed);
       }
     }
   }
 
   @Test
-  public void cachedPromptsOfOtherWeightsOrIsolatedTenantsAreOthers() {
+  public void cachedPromptsOfOtherWeightsOrIsolatedTenantsHaveOtherKeys() {
     String shared = CacheNamespace.of(7L, null);
     for (String foreign :
         List.of(
