--- a/gateway/src/main/java/org/lockdale/gateway/backend/AnswerHead.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/AnswerHead.java
@@ -5,18 +5,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Head of a back end's answer.
+ * Head of a backend's HTTP response.
  *
  * @param status HTTP status code
- * @param headers headers to be passed on
- * @param notRun whether the back end says that it did not and will not run the request
- * @param misdirected whether it is another incarnation, or has other weights, than was expected
- * @param authentic whether it carries the back end's proof that the answer is its own
+ * @param headers headers to pass on to the caller
+ * @param notRun whether the backend states that it did not and will not run the request
+ * @param misdirected whether the backend is another incarnation, or holds other weights, than the
+ *     request expected
+ * @param authentic whether the response carries the backend's proof that it comes from that backend
  * @param events whether the body is a stream of events
- * @param weights version of the weights that serve the request, or null where not told
- * @param rate what it says of the rate at which the back end takes requests
- * @param leaving whether it says that the back end leaves
- * @param rest what it says of a rest that the back end wants from this node
+ * @param weights version of the weights that serve the request, or null where it is not given
+ * @param rate the rate limit that the response advertises
+ * @param leaving whether the response announces that the backend is draining
+ * @param rest the backoff that the backend requests from this node
  */
 public record AnswerHead(
     int status,
@@ -30,23 +31,23 @@
     boolean leaving,
     RestStatement rest) {
 
-  private static final Set<Integer> PROMISING_STATUSES = Set.of(408, 421, 429, 503);
+  private static final Set<Integer> NOT_RUN_STATUSES = Set.of(408, 421, 429, 503);
   private static final int SUCCESS_CLASS = 2;
-  private static final int SERVER_ERROR = 500;
+  private static final int FIRST_SERVER_ERROR = 500;
   private static final int CLASS_SIZE = 100;
 
-  /** Returns whether callers would take the status as a promise that the request has not run. */
+  /** Returns whether callers would conclude from the status that the request has not run. */
   public boolean promisesNotRun() {
-    return PROMISING_STATUSES.contains(status);
+    return NOT_RUN_STATUSES.contains(status);
   }
 
-  /** Returns whether the answer is a success. */
+  /** Returns whether the response is a success. */
   public boolean isSuccess() {
     return status / CLASS_SIZE == SUCCESS_CLASS;
   }
 
-  /** Returns whether the back end failed. */
+  /** Returns whether the backend failed to serve the request. */
   public boolean isServerError() {
-    return status >= SERVER_ERROR;
+    return status >= FIRST_SERVER_ERROR;
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/backend/Backend.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/Backend.java
@@ -4,14 +4,15 @@
 import java.util.Map;
 
 /**
- * What the record of a back end says.
+ * Record of a backend in the shared store.
  *
- * @param incarnation the server and which of its lives; a restart begins a new one
- * @param pool pool that it belongs to
- * @param address where it is reached
- * @param zone zone it stands in
- * @param slots requests that it works on at once
- * @param leaving whether it takes no new work
+ * @param incarnation the server and the start time of its process; a restart begins a new
+ *     incarnation
+ * @param pool pool that the backend belongs to
+ * @param address address at which it is reached
+ * @param zone zone in which it runs
+ * @param slots number of requests that it processes at once
+ * @param leaving whether the backend is draining and accepts no new requests
  * @param weights version of the weights of each model that it runs
  */
 public record Backend(
@@ -23,7 +24,7 @@
     boolean leaving,
     Map<String, Long> weights) {
 
-  /** Creates the record of an incarnation that is named by its text form. */
+  /** Creates the record of an incarnation given by its text form. */
   public Backend(
       String id,
       String pool,
@@ -35,12 +36,15 @@
     this(Incarnation.parse(id), pool, address, zone, slots, leaving, weights);
   }
 
-  /** Returns the text form of the incarnation, by which all that is learned of it is kept. */
+  /** Returns the text form of the incarnation, the key under which its state is kept. */
   public String id() {
     return incarnation.toString();
   }
 
-  /** Written out, since a record's own is linked anew in every process that calls it. */
+  /**
+   * Compares all components. It is spelled out since the method that a record generates is linked
+   * anew in each process that calls it.
+   */
   @Override
   public boolean equals(Object other) {
     return other instanceof Backend backend
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendHealth.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendHealth.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Recent failures of one back end as seen by this node. A back end that fails is ejected for a time
- * that doubles with every further failure in a row; after it, one success brings it back. Safe for
+ * Recent failures of one backend as seen by this node. A backend that fails is ejected for a time
+ * that doubles with each further consecutive failure; afterwards one success restores it. Safe for
  * use by several threads.
  */
 public final class BackendHealth {
@@ -14,25 +14,31 @@
   private static final long FIRST_EJECTION_MILLIS = 500;
   private static final int MAX_DOUBLINGS = 3;
 
-  /** Failures in a row that eject. A single one may be the request's own. */
+  /**
+   * Number of consecutive failures that eject a backend. A single failure may be due to the request
+   * itself.
+   */
   private static final int FAILURES_TO_EJECT = 2;
 
   /**
-   * Longer than all who place requests take to hear of a rejection, and shorter than a load of
-   * weights.
+   * Pause after the first rejection. It is longer than all nodes that place requests take to learn
+   * of a rejection, and shorter than loading weights takes.
    */
   private static final long FIRST_REJECTION_PAUSE_MILLIS = 150;
 
-  /** After this time without a rejection the next pause is a first one. */
-  private static final long REJECTION_MEMORY_MILLIS = 1_000;
+  /**
+   * Time without a rejection, in milliseconds, after which the next pause has its initial length
+   * again.
+   */
+  private static final long REJECTION_RESET_MILLIS = 1_000;
 
-  /** Weight of the newest outcome in the failure rate. */
-  private static final double RATE_WEIGHT = 0.15;
+  /** Weight of the newest outcome in the moving average of failures. */
+  private static final double RATE_SMOOTHING_FACTOR = 0.15;
 
   /**
-   * Time in which the failure rate halves where nothing is sent; else a back end that failed last
-   * is avoided for good, as it gets no request that could lower its rate, and another one that
-   * fails as often gets all of them.
+   * Time in milliseconds in which the failure rate halves while no requests are sent. Without this
+   * decay a backend that failed last would be avoided for good, since it gets no request that could
+   * lower its rate, and another one that fails as often would get all requests.
    */
   private static final double RATE_HALF_LIFE_MILLIS = 2_000;
 
@@ -42,16 +48,16 @@
   private final AtomicReference<FailureRate> failureRate =
       new AtomicReference<>(new FailureRate(0, 0));
 
-  /** Failure rate at the time of the last failure, lowered by the successes since. */
+  /** Failure rate as of the last failure, reduced by the successes since. */
   private record FailureRate(double value, long failedAtMillis) {
 
     FailureRate succeeded() {
-      return new FailureRate(value * (1 - RATE_WEIGHT), failedAtMillis);
+      return new FailureRate(value * (1 - RATE_SMOOTHING_FACTOR), failedAtMillis);
     }
 
     FailureRate failed(long nowMillis) {
       double aged = at(nowMillis);
-      return new FailureRate(aged + (1 - aged) * RATE_WEIGHT, nowMillis);
+      return new FailureRate(aged + (1 - aged) * RATE_SMOOTHING_FACTOR, nowMillis);
     }
 
     double at(long nowMillis) {
@@ -60,7 +66,12 @@
     }
   }
 
-  /** Rejections in a row, each after the pause of the one before it, and the newest pause's end. */
+  /**
+   * Consecutive rejections, each received after the pause of the previous one.
+   *
+   * @param count number of rejections
+   * @param pausedUntilMillis monotonic time in milliseconds at which the latest pause ends
+   */
   private record Rejections(int count, long pausedUntilMillis) {
     static final Rejections NONE = new Rejections(0, Long.MIN_VALUE / 2);
 
@@ -70,24 +81,25 @@
 
     Rejections next(long nowMillis) {
       if (isPaused(nowMillis)) {
-        // It was under way when the pause began and tells nothing new.
+        // The request was already in flight when the pause began, so its rejection adds no
+        // information.
         return this;
       }
-      boolean fresh = nowMillis - pausedUntilMillis > REJECTION_MEMORY_MILLIS;
-      int before = fresh ? 0 : count;
+      boolean isReset = nowMillis - pausedUntilMillis > REJECTION_RESET_MILLIS;
+      int before = isReset ? 0 : count;
       long pause = FIRST_REJECTION_PAUSE_MILLIS << Math.min(before, MAX_DOUBLINGS);
       return new Rejections(before + 1, nowMillis + pause);
     }
   }
 
-  /** Notes an answer. */
+  /** Records a response. */
   public void succeeded() {
     failuresInRow.set(0);
     ejectedUntilMillis.set(Long.MIN_VALUE);
     failureRate.updateAndGet(FailureRate::succeeded);
   }
 
-  /** Notes a request without a sound answer. */
+  /** Records a request that got no valid response. */
   public void failed(long nowMillis) {
     failureRate.updateAndGet(before -> before.failed(nowMillis));
     int failures = failuresInRow.incrementAndGet();
@@ -97,19 +109,20 @@
   }
 
   /**
-   * Notes that it has turned a request away, as when it is full or loads weights. It is left alone
-   * for a time that doubles while this goes on. Answers to earlier requests don't end the pause,
-   * since an engine goes on with its runs while it takes no new ones.
+   * Records that the backend has rejected a request, for example since it is full or loads weights.
+   * It receives no requests for a time that doubles while the rejections continue. Responses to
+   * earlier requests don't end the pause, since an engine completes its running requests while it
+   * accepts no new ones.
    */
   public void rejected(long nowMillis) {
     rejections.updateAndGet(before -> before.next(nowMillis));
   }
 
-  private void unavailable(long nowMillis, long millis) {
+  private void ejectFor(long nowMillis, long millis) {
     ejectedUntilMillis.accumulateAndGet(nowMillis + millis, Math::max);
   }
 
-  /** Notes that no connection came up. */
+  /** Records that no connection could be established. */
   public void unreachable(long nowMillis) {
     failureRate.updateAndGet(before -> before.failed(nowMillis));
     eject(nowMillis, failuresInRow.incrementAndGet() - 1);
@@ -117,20 +130,25 @@
 
   private void eject(long nowMillis, int doublings) {
     long millis = FIRST_EJECTION_MILLIS << Math.min(doublings, MAX_DOUBLINGS);
-    unavailable(nowMillis, millis);
+    ejectFor(nowMillis, millis);
   }
 
-  /** Returns the share of recent requests that failed, 0 to 1, newer ones weighing more. */
+  /**
+   * Returns the share of recent requests that failed, 0 to 1, with higher weight for newer ones.
+   */
   public double failureRate(long nowMillis) {
     return failureRate.get().at(nowMillis);
   }
 
-  /** Returns whether the last attempts all failed, also after the pause that they led to. */
+  /**
+   * Returns whether the last attempts all failed. This holds until an attempt succeeds, also after
+   * the ejection has ended.
+   */
   public boolean isSuspected() {
     return failuresInRow.get() >= FAILURES_TO_EJECT;
   }
 
-  /** Returns whether requests should go elsewhere for now. */
+  /** Returns whether the backend is ejected or paused, so that requests should go to others. */
   public boolean isEjected(long nowMillis) {
     return nowMillis < ejectedUntilMillis.get() || rejections.get().isPaused(nowMillis);
   }
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendLoad.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendLoad.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Work that this node has sent to one back end and that has not ended. Prompt tokens are counted as
- * waiting until the answer begins and as running after it. Safe for use by several threads.
+ * Work that this node has sent to one backend and that has not ended. Prompt tokens are counted as
+ * waiting until the response begins and as running from then on. Safe for use by several threads.
  */
 public final class BackendLoad {
 
@@ -14,7 +14,7 @@
   private final AtomicLong runningTokens = new AtomicLong();
   private final AtomicLong progress = new AtomicLong();
 
-  /** One request's share of the load; used on one thread at a time. */
+  /** One request's share of the load. Not thread-safe. */
   public final class Share {
     private final long computedTokens;
     private final long promptTokens;
@@ -27,9 +27,9 @@
     }
 
     /**
-     * Notes that the answer has begun.
+     * Records that the response has begun.
      *
-     * @return whether it had not begun before
+     * @return whether this is the first call, made before the request ended
      */
     public boolean begin() {
       if (begun || ended) {
@@ -42,7 +42,7 @@
       return true;
     }
 
-    /** Notes that the request has ended, however it ended. */
+    /** Records that the request has ended, whatever its outcome. */
     public void end() {
       if (ended) {
         return;
@@ -59,9 +59,9 @@
   }
 
   /**
-   * Notes a request that is sent.
+   * Records a request that is sent.
    *
-   * @param computedTokens prompt tokens that the back end probably has to compute
+   * @param computedTokens prompt tokens that the backend probably has to compute
    * @param promptTokens all tokens of the prompt
    */
   public Share open(long computedTokens, long promptTokens) {
@@ -72,15 +72,15 @@
   }
 
   /**
-   * Returns a number that rises whenever a request is sent, begins to be answered or ends. A report
-   * that counts a relay's placements must tell of every engine whose number has risen: the relay
-   * forgets those placements.
+   * Returns a number that increases whenever a request is sent, begins to be answered or ends. A
+   * report that covers placements made by a relay node must include every engine whose number has
+   * increased, since the relay then discards these placements.
    */
   public long progress() {
     return progress.get();
   }
 
-  /** Returns all of the work. */
+  /** Returns the total of the work. */
   public BackendWork work() {
     return new BackendWork(waitingTokens(), runningTokens(), openRequests());
   }
@@ -90,12 +90,12 @@
     return openRequests.get();
   }
 
-  /** Returns the tokens of prompts whose answers have not begun. */
+  /** Returns the tokens of prompts whose responses have not begun. */
   public long waitingTokens() {
     return waitingTokens.get();
   }
 
-  /** Returns the tokens of prompts whose answers have begun and not ended. */
+  /** Returns the tokens of prompts whose responses have begun and not ended. */
   public long runningTokens() {
     return runningTokens.get();
   }
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendProtocol.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendProtocol.java
@@ -4,21 +4,21 @@
 import org.lockdale.gateway.caller.CallerRequest;
 import org.lockdale.http.HttpRequestMessage;
 
-/** Port of the protocol that back ends speak. */
+/** Port for the protocol that backends speak. */
 public interface BackendProtocol {
 
-  /** Writes a request as it goes to a back end. */
+  /** Returns a request in the form in which it is sent to a backend. */
   HttpRequestMessage write(CallerRequest request, AttemptPlan plan);
 
   /**
-   * Returns whether a path leads to a back end's own interface, such as its orders. Back ends ask
-   * nobody who calls it, so no route passes a caller on to it.
+   * Returns whether a path belongs to a backend's control interface, such as the one for orders.
+   * Backends don't authenticate its callers, so no route forwards a caller's request to it.
    */
   boolean isControlPath(String path);
 
-  /** Returns whether an answer belongs to a request. */
+  /** Returns whether a response belongs to a request. */
   boolean belongsTo(CallerRequest request, HttpHeaders answer);
 
-  /** Reads the head of an answer. */
+  /** Parses the head of a response. */
   AnswerHead read(int status, HttpHeaders headers);
 }
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendRest.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendRest.java
@@ -3,8 +3,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Until when a back end wants no request from this node. A shorter rest that it asks for later, or
- * a request that it serves meanwhile, does not end a longer one. Safe for use by several threads.
+ * Backoff that a backend has requested from this node: until it ends, the node sends no request to
+ * the backend. Neither a later request for a shorter backoff nor a request served in the meantime
+ * shortens it. Safe for use by several threads.
  */
 public final class BackendRest {
 
@@ -13,23 +14,23 @@
   private final AtomicLong untilMillis = new AtomicLong(NEVER);
 
   /**
-   * Notes that the back end asks for a rest.
+   * Records that the backend requests a backoff.
    *
-   * @param millis how long, from now on
-   * @param nowMillis monotonic time
-   * @return whether it was known to end sooner or not to rest
+   * @param millis length of the backoff from now on, in milliseconds
+   * @param nowMillis monotonic time in milliseconds
+   * @return whether this begins or extends the backoff
    */
   public boolean asked(long millis, long nowMillis) {
     long until = nowMillis + millis;
     return untilMillis.getAndAccumulate(until, Math::max) < until;
   }
 
-  /** Returns whether the back end wants no request now. */
+  /** Returns whether a backoff is in effect. */
   public boolean isOn(long nowMillis) {
     return nowMillis < untilMillis.get();
   }
 
-  /** Returns the time until the rest ends, in milliseconds; 0 where there is none. */
+  /** Returns the time until the backoff ends, in milliseconds; 0 where there is none. */
   public long remainingMillis(long nowMillis) {
     long until = untilMillis.get();
     return until == NEVER ? 0 : Math.max(0, until - nowMillis);
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendTable.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendTable.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** All back ends that are on record, by pool. Immutable. */
+/** All backends with a record in the shared store, by pool. Immutable. */
 public final class BackendTable {
 
-  /** No back ends. */
+  /** The table without backends. */
   public static final BackendTable EMPTY = new BackendTable(Map.of());
 
   private final Map<String, TrackedBackend> byId;
@@ -29,22 +29,22 @@
             });
   }
 
-  /** Returns the table of newer records; what was learned about an incarnation is kept. */
+  /** Returns a table of newer records that keeps the state learned about each incarnation. */
   public BackendTable with(Collection<Backend> records) {
     Map<String, TrackedBackend> newer = new HashMap<>();
     for (Backend backend : records) {
       TrackedBackend before = byId.get(backend.id());
-      newer.put(backend.id(), before == null ? begin(backend) : before.with(backend));
+      newer.put(backend.id(), before == null ? track(backend) : before.with(backend));
     }
     return new BackendTable(newer);
   }
 
-  private TrackedBackend begin(Backend backend) {
+  private TrackedBackend track(Backend backend) {
     TrackedBackend former = byServer.get(backend.incarnation().server());
-    return former == null ? TrackedBackend.of(backend) : former.nextLife(backend);
+    return former == null ? TrackedBackend.of(backend) : former.nextIncarnation(backend);
   }
 
-  /** Returns whether another table holds the same records. */
+  /** Returns whether another table holds equal records. */
   public boolean sameRecordsAs(BackendTable other) {
     if (byId.size() != other.byId.size()) {
       return false;
@@ -58,27 +58,28 @@
     return true;
   }
 
-  /** Returns the back ends of a pool. */
+  /** Returns the backends of a pool; empty where there are none. */
   public List<TrackedBackend> ofPool(String pool) {
     return byPool.getOrDefault(pool, List.of());
   }
 
-  /** Returns the back end of an incarnation's text form, or null where it is not on record. */
+  /** Returns the backend for the text form of an incarnation, or null where it has no record. */
   public @Nullable TrackedBackend find(String id) {
     return byId.get(id);
   }
 
   /**
-   * Returns the back end that another node names, or null where it is not on record. A node of an
-   * earlier version names the server alone, and means its present life.
+   * Returns the backend for a name received from another node, or null where it has no record.
+   * Nodes of an earlier version send the id of the server without a start time; it denotes the
+   * present incarnation.
    */
   public @Nullable TrackedBackend named(String name) {
     TrackedBackend exact = byId.get(name);
-    boolean tellsNoStart = Incarnation.parse(name).startedAtMillis().isEmpty();
-    return exact == null && tellsNoStart ? byServer.get(name) : exact;
+    boolean lacksStartTime = Incarnation.parse(name).startedAtMillis().isEmpty();
+    return exact == null && lacksStartTime ? byServer.get(name) : exact;
   }
 
-  /** Returns all back ends. */
+  /** Returns all backends. */
   public Collection<TrackedBackend> all() {
     return byId.values();
   }
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendWork.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendWork.java
@@ -1,10 +1,10 @@
 package org.lockdale.gateway.backend;
 
 /**
- * Work at one back end.
+ * Work at one backend.
  *
- * @param waitingTokens prompt tokens whose answers have not begun
- * @param runningTokens prompt tokens whose answers have begun and not ended
+ * @param waitingTokens tokens of prompts whose responses have not begun
+ * @param runningTokens tokens of prompts whose responses have begun and not ended
  * @param openRequests requests that have not ended
  */
 public record BackendWork(long waitingTokens, long runningTokens, int openRequests) {
@@ -17,7 +17,7 @@
     return waitingTokens == 0 && runningTokens == 0 && openRequests == 0;
   }
 
-  /** Returns this work and other work together. */
+  /** Returns the sum of this work and other work. */
   public BackendWork plus(BackendWork other) {
     return new BackendWork(
         waitingTokens + other.waitingTokens,
@@ -25,7 +25,7 @@
         openRequests + other.openRequests);
   }
 
-  /** Returns this work without a part of it. */
+  /** Returns this work minus a part of it. */
   public BackendWork minus(BackendWork part) {
     return new BackendWork(
         waitingTokens - part.waitingTokens,
--- a/gateway/src/main/java/org/lockdale/gateway/backend/Incarnation.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/Incarnation.java
@@ -4,12 +4,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One life of a back end: its server's id, which it keeps when it starts again, and its start. What
- * is learned of a back end hangs on its incarnation, since a server that starts again knows nothing
- * of before. Servers of earlier versions don't tell their start; their id alone tells them apart.
+ * Incarnation of a backend: the id of its server, which stays the same across restarts, and the
+ * start time of its process. State learned about a backend belongs to its incarnation, since a
+ * restarted server has none of its former state. Servers of earlier versions don't report their
+ * start time and are identified by their id alone.
  *
- * <p>The text form is the key by which nodes name an incarnation to each other and on record: the
- * id alone where there is no start, else id, {@value #SEPARATOR} and the start.
+ * <p>The text form is the key of an incarnation in messages between nodes and in the shared store:
+ * the id alone where there is no start time, otherwise the id, {@value #SEPARATOR} and the start
+ * time.
  */
 public final class Incarnation {
 
@@ -31,13 +33,16 @@
    * Returns an incarnation.
    *
    * @param server id of the server
-   * @param startedAtMillis Unix time of its start in milliseconds, or null where it is not told
+   * @param startedAtMillis Unix time of its start in milliseconds, or null where it is not known
    */
   public static Incarnation of(String server, @Nullable Long startedAtMillis) {
     return new Incarnation(server, startedAtMillis);
   }
 
-  /** Returns the incarnation that a text form names; text that is none is a server's id. */
+  /**
+   * Returns the incarnation for a text form. Text that is not a valid text form is taken as the id
+   * of a server without a start time.
+   */
   public static Incarnation parse(String text) {
     int separator = text.lastIndexOf(SEPARATOR);
     if (separator < 0) {
@@ -51,19 +56,22 @@
     }
   }
 
-  /** Returns the id of the server, which it keeps when it starts again. */
+  /** Returns the id of the server, which stays the same across restarts. */
   public String server() {
     return server;
   }
 
-  /** Returns the Unix time of its start in milliseconds, by its own clock, where it told it. */
+  /**
+   * Returns the Unix time of its start in milliseconds, by the clock of the server, or empty where
+   * it was not reported.
+   */
   public OptionalLong startedAtMillis() {
     return startedAtMillis == null ? OptionalLong.empty() : OptionalLong.of(startedAtMillis);
   }
 
   /**
-   * Returns whether this is an earlier life of the same server. Where either start is not told, or
-   * the servers differ, it is not.
+   * Returns whether this is an earlier incarnation of the same server. It is false where either
+   * start time is unknown or the servers differ.
    */
   public boolean isBefore(Incarnation other) {
     return server.equals(other.server)
--- a/gateway/src/main/java/org/lockdale/gateway/backend/RateStatement.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/RateStatement.java
@@ -1,33 +1,37 @@
 package org.lockdale.gateway.backend;
 
-/** What an answer of a back end says of the rate at which it takes requests from all nodes. */
+/** Rate limit that a response of a backend advertises, for the requests of all nodes together. */
 public sealed interface RateStatement {
 
-  /** The answer names no rate. */
+  /** The response advertises no rate limit. */
   RateStatement NONE = new None();
 
-  /** The answer names no rate. */
+  /** The response advertises no rate limit. */
   record None() implements RateStatement {}
 
   /**
-   * The answer names a rate.
+   * The response advertises a rate limit.
    *
-   * @param perSecond requests a second, 0 or more
+   * @param perSecond requests per second, finite and not negative
    */
   record Limited(double perSecond) implements RateStatement {
 
-    /** Checks the rate. */
+    /**
+     * Creates a rate limit.
+     *
+     * @throws IllegalArgumentException if the rate is negative, infinite or not a number
+     */
     public Limited {
       if (!(perSecond >= 0) || Double.isInfinite(perSecond)) {
-        throw new IllegalArgumentException("A rate is a finite number of 0 or more: " + perSecond);
+        throw new IllegalArgumentException("Rate must be finite and not negative: " + perSecond);
       }
     }
   }
 
   /**
-   * The answer names something that is no rate.
+   * The response carries a value that is not a rate.
    *
-   * @param text what stands there
+   * @param text the value
    */
   record Unreadable(String text) implements RateStatement {}
 }
--- a/gateway/src/main/java/org/lockdale/gateway/backend/RemoteLoads.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/RemoteLoads.java
@@ -1,9 +1,13 @@
 package org.lockdale.gateway.backend;
 
-/** Port by which the work of other nodes at back ends is known. */
+/** Port through which the work of other nodes at backends is obtained. */
 @FunctionalInterface
 public interface RemoteLoads {
 
-  /** Returns the work of other nodes at a back end. */
+  /**
+   * Returns the work of other nodes at a backend, as far as they have reported it.
+   *
+   * @param engine id of the backend
+   */
   BackendWork at(String engine);
 }
--- a/gateway/src/main/java/org/lockdale/gateway/backend/RestStatement.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/RestStatement.java
@@ -1,33 +1,37 @@
 package org.lockdale.gateway.backend;
 
-/** What an answer says of the rest that its back end wants from the node that it turned away. */
+/** Backoff that a backend requests, in a response, from the node that sent the request. */
 public sealed interface RestStatement {
 
-  /** The answer asks for no rest. */
+  /** The response requests no backoff. */
   RestStatement NONE = new None();
 
-  /** The answer asks for no rest. */
+  /** The response requests no backoff. */
   record None() implements RestStatement {}
 
   /**
-   * The back end wants no request from this node for a time.
+   * The backend requests that this node send it no requests for a time.
    *
-   * @param millis length of the rest from the answer on, more than 0
+   * @param millis length of the backoff from the response on, in milliseconds, more than 0
    */
   record Wanted(long millis) implements RestStatement {
 
-    /** Checks the time. */
+    /**
+     * Creates a requested backoff.
+     *
+     * @throws IllegalArgumentException if the length is not positive
+     */
     public Wanted {
       if (millis <= 0) {
-        throw new IllegalArgumentException("A rest is longer than 0 ms: " + millis);
+        throw new IllegalArgumentException("Backoff must be longer than 0 ms: " + millis);
       }
     }
   }
 
   /**
-   * The answer asks for something that is no time.
+   * The response carries a value that is not a time.
    *
-   * @param text what stands there
+   * @param text the value
    */
   record Unreadable(String text) implements RestStatement {}
 }
--- a/gateway/src/main/java/org/lockdale/gateway/backend/TrackedBackend.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/TrackedBackend.java
@@ -9,15 +9,17 @@
 import org.lockdale.coordination.placement.Rendezvous;
 
 /**
- * A back end with what this node has learned about it. The record is immutable; the rest is shared
- * by all versions of the record of one incarnation and is safe for use by several threads.
+ * A backend with the state that this node has learned about it. The record is immutable. The
+ * learned state is shared by all versions of the record of one incarnation. Safe for use by several
+ * threads.
  */
 public final class TrackedBackend {
 
   /**
-   * A version of weights that was seen.
+   * A version of weights that was observed.
    *
-   * @param exact whether the engine holds no newer one, whatever its record says
+   * @param version the version
+   * @param exact whether the engine holds no newer one, even if its record lists one
    */
   private record ObservedWeights(long version, boolean exact) {
 
@@ -26,114 +28,119 @@
     }
   }
 
-  /** What is learned of one incarnation, whatever its records say. */
-  private static final class Learned {
+  /** State learned about one incarnation, independent of its records. */
+  private static final class LearnedState {
     final BackendHealth health = new BackendHealth();
     final BackendLoad load = new BackendLoad();
-    final BackendRest rest;
+    final BackendRest backoff;
     final Map<String, ObservedWeights> weights = new ConcurrentHashMap<>();
     final AtomicLong aliveAtMillis = new AtomicLong(Long.MIN_VALUE / 2);
     final AtomicBoolean leaving = new AtomicBoolean();
-    final Set<Runnable> whenOver = ConcurrentHashMap.newKeySet();
+    final Set<Runnable> endListeners = ConcurrentHashMap.newKeySet();
 
-    Learned(BackendRest rest) {
-      this.rest = rest;
+    LearnedState(BackendRest backoff) {
+      this.backoff = backoff;
     }
   }
 
   private final Backend backend;
-  private final Learned learned;
-  private final AtomicBoolean over;
+  private final LearnedState learned;
+  private final AtomicBoolean ended;
   private final long identity;
 
-  private TrackedBackend(Backend backend, Learned learned, AtomicBoolean over) {
+  private TrackedBackend(Backend backend, LearnedState learned, AtomicBoolean ended) {
     this.backend = backend;
     this.learned = learned;
-    this.over = over;
-    // A server's rank outlives a restart, so that the prefixes of other servers stay where they
-    // are.
+    this.ended = ended;
+    // The rank of a server stays the same across restarts, so that the prefixes of other servers
+    // are not moved.
     this.identity = Rendezvous.identityOf(backend.incarnation().server());
   }
 
-  /** Returns a back end of which nothing is known but its record. */
+  /** Returns a backend of which only the record is known. */
   public static TrackedBackend of(Backend backend) {
-    return new TrackedBackend(backend, new Learned(new BackendRest()), new AtomicBoolean());
+    return new TrackedBackend(backend, new LearnedState(new BackendRest()), new AtomicBoolean());
   }
 
   /**
-   * Returns the next life of the same server, of which nothing is known but its record and the rest
-   * that the server wants: the next life may have asked for it before its record was read.
+   * Returns the next incarnation of the same server, of which only its record is known, and the
+   * backoff that the server requested: the next incarnation may have requested it before its record
+   * was read.
    */
-  public TrackedBackend nextLife(Backend next) {
-    return new TrackedBackend(next, new Learned(learned.rest), new AtomicBoolean());
+  public TrackedBackend nextIncarnation(Backend next) {
+    return new TrackedBackend(next, new LearnedState(learned.backoff), new AtomicBoolean());
   }
 
   /**
-   * Returns the same incarnation with a newer record. Where it is reached at another address, that
-   * somebody else answers at the former one says nothing any more.
+   * Returns the same incarnation with a newer record. If its address has changed, it no longer
+   * counts as ended because another instance answered at the former address.
    */
   public TrackedBackend with(Backend newer) {
     boolean moved = !newer.address().equals(backend.address());
-    return new TrackedBackend(newer, learned, moved ? new AtomicBoolean() : over);
+    return new TrackedBackend(newer, learned, moved ? new AtomicBoolean() : ended);
   }
 
   /**
-   * Notes that this life is over, as shown by another instance that answers at its address, or by
-   * the record of the server's next life. Its own record may stand for seconds more.
+   * Records that this incarnation has ended, as shown by another instance that answers at its
+   * address or by the record of the server's next incarnation. Its own record may remain in the
+   * shared store for seconds.
    *
-   * @return whether that was not known
+   * @return whether this was not known before
    */
   public boolean end() {
-    boolean news = over.compareAndSet(false, true);
-    if (news) {
-      learned.whenOver.forEach(Runnable::run);
+    boolean isNew = ended.compareAndSet(false, true);
+    if (isNew) {
+      learned.endListeners.forEach(Runnable::run);
     }
-    return news;
+    return isNew;
   }
 
-  /** Runs an action, on any thread, once this life is known to be over. */
+  /** Registers an action that runs, on any thread, once this incarnation is known to have ended. */
   public void whenOver(Runnable action) {
-    learned.whenOver.add(action);
+    learned.endListeners.add(action);
   }
 
-  /** Takes an action back. */
+  /** Removes an action registered with {@link #whenOver}. */
   public void forget(Runnable action) {
-    learned.whenOver.remove(action);
+    learned.endListeners.remove(action);
   }
 
-  /** Returns whether this life is known to be over; nothing is sent to it any more. */
+  /** Returns whether this incarnation is known to have ended; no more requests are sent to it. */
   public boolean isOver() {
-    return over.get();
+    return ended.get();
   }
 
   /**
-   * Notes that this life leaves, as it says in its answers. It can't take that back: its record may
-   * be of before, or read late.
+   * Records that this incarnation has announced in a response that it is draining. This can't be
+   * revoked: a record that contradicts it may be older, or may have been read late.
    *
-   * @return whether it had not said so before
+   * @return whether it had not announced it before
    */
   public boolean leave() {
     return learned.leaving.compareAndSet(false, true);
   }
 
-  /** Returns whether this life has said in an answer that it leaves. */
+  /** Returns whether this incarnation has announced in a response that it is draining. */
   public boolean hasSaidItLeaves() {
     return learned.leaving.get();
   }
 
-  /** Returns whether this life leaves, by its record or by its own word. */
+  /** Returns whether this incarnation is draining, according to its record or its responses. */
   public boolean isLeaving() {
     return backend.leaving() || learned.leaving.get();
   }
 
-  /** Returns whether requests may be sent to this life: it neither leaves nor is over. */
+  /**
+   * Returns whether requests may be sent to this incarnation: it is neither draining nor known to
+   * have ended.
+   */
   public boolean isServing() {
     return !isLeaving() && !isOver();
   }
 
-  /** Returns the rest that it wants from this node. */
+  /** Returns the backoff that the backend requested from this node. */
   public BackendRest rest() {
-    return learned.rest;
+    return learned.backoff;
   }
 
   /** Returns the record. */
@@ -142,57 +149,63 @@
   }
 
   /**
-   * Returns whether a list of back ends names this one. Nodes of an earlier version name servers,
-   * whichever life is meant.
+   * Returns whether a set of names contains this backend. Nodes of an earlier version send ids of
+   * servers, which denote any incarnation.
    */
   public boolean isAmong(Set<String> named) {
     return named.contains(backend.id()) || named.contains(backend.incarnation().server());
   }
 
-  /** Returns the work that this node has sent to it. */
+  /** Returns the work that this node has sent to the backend. */
   public BackendLoad load() {
     return learned.load;
   }
 
-  /** Returns its failures as this node saw them. */
+  /** Returns the failures of the backend as seen by this node. */
   public BackendHealth health() {
     return learned.health;
   }
 
-  /** Returns the hash by which it is ranked for a key. */
+  /** Returns the hash by which the server is ranked in rendezvous hashing. */
   public long identity() {
     return identity;
   }
 
   /**
-   * Notes that this incarnation, and no later one at its address, has begun to answer an attempt,
-   * which shows that it lived when the attempt was sent. When the answer is read shows nothing: a
-   * slow node reads late what a back end wrote before its end.
+   * Records that this incarnation, and no later one at its address, has begun to answer an attempt,
+   * which shows that it was alive when the attempt was sent. The time at which the response is read
+   * proves nothing: a slow node may read late what a backend wrote before its process ended.
+   *
+   * @param sentAtMillis monotonic time in milliseconds at which the attempt was sent
    */
   public void answered(long sentAtMillis) {
     learned.aliveAtMillis.accumulateAndGet(sentAtMillis, Math::max);
   }
 
-  /** Returns the latest monotonic time at which this incarnation is known to have lived. */
+  /**
+   * Returns the latest monotonic time, in milliseconds, at which this incarnation is known to have
+   * been alive; far in the past where no response was received.
+   */
   public long aliveAtMillis() {
     return learned.aliveAtMillis.get();
   }
 
-  /** Notes the version of weights that an answer told. */
+  /** Records the version of weights reported in a response. */
   public void observeWeights(String model, long version) {
     learned.weights.merge(model, new ObservedWeights(version, false), ObservedWeights::newer);
   }
 
   /**
-   * Notes the version that the engine itself tells after it has turned a request away as meant for
-   * other weights. An order to an earlier life that is carried out late takes it back to older
-   * ones; believed to hold newer ones, it would turn each request away.
+   * Records the version that the engine itself reports after it has rejected a request as meant for
+   * other weights. This may be an older version than known: an order given to an earlier
+   * incarnation and carried out late takes the engine back to older weights. If it were still
+   * expected to hold newer ones, it would reject every request.
    */
   public void correctWeights(String model, long version) {
     learned.weights.put(model, new ObservedWeights(version, true));
   }
 
-  /** Returns the newest version known of a model's weights, or null where none is known. */
+  /** Returns the newest known version of a model's weights, or null where none is known. */
   public @Nullable Long weightsOf(String model) {
     Long listed = backend.weights().get(model);
     ObservedWeights observed = learned.weights.get(model);
--- a/gateway/src/main/java/org/lockdale/gateway/backend/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/package-info.java
@@ -1,4 +1,4 @@
-/** Back ends: what their records say, and how they have behaved toward this node. */
+/** Backends: their records in the shared store, and their behaviour as observed by this node. */
 @NullMarked
 package org.lockdale.gateway.backend;
 
--- a/gateway/src/test/java/org/lockdale/gateway/backend/BackendHealthTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/backend/BackendHealthTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** For how long a back end is left alone that fails or takes no requests. */
+/** Checks how long a backend that fails or rejects requests receives no new ones. */
 public final class BackendHealthTest {
 
   private BackendHealth health;
@@ -17,7 +17,7 @@
     health = new BackendHealth();
   }
 
-  /** Returns the time from which requests are sent again. */
+  /** Records a rejection and returns the monotonic time from which requests are sent again. */
   private long pauseFrom(long rejectedAtMillis) {
     health.rejected(rejectedAtMillis);
     long millis = rejectedAtMillis;
@@ -37,7 +37,7 @@
   }
 
   @Test
-  public void requestsThatWereUnderWayDoNotLengthenThePause() {
+  public void rejectionsOfRequestsInFlightDoNotLengthenThePause() {
     health.rejected(0);
     for (int millis = 0; millis < 20; millis++) {
       health.rejected(millis);
@@ -47,14 +47,14 @@
   }
 
   @Test
-  public void aTimeWithoutRejectionsIsForgotten() {
+  public void aTimeWithoutRejectionsResetsThePause() {
     pauseFrom(0);
     pauseFrom(150);
     assertEquals(pauseFrom(2_000), 2_150);
   }
 
   @Test
-  public void anEngineThatRejectsWhileItsEarlierRunsEndIsStillLeftAlone() {
+  public void anEngineThatRejectsWhileItCompletesEarlierRequestsStaysPaused() {
     health.rejected(0);
     health.succeeded();
     assertTrue(health.isEjected(100));
--- a/gateway/src/test/java/org/lockdale/gateway/backend/BackendRestTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/backend/BackendRestTest.java
@@ -7,34 +7,34 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The rest that a back end wants from this node. */
+/** Checks the backoff that a backend requests from this node. */
 public final class BackendRestTest {
 
-  private BackendRest rest;
+  private BackendRest backoff;
 
   @BeforeMethod
   public void start() {
-    rest = new BackendRest();
+    backoff = new BackendRest();
   }
 
   @Test
-  public void aShorterRestDoesNotEndALongerOne() {
-    assertTrue(rest.asked(3_000, 0));
-    assertFalse(rest.asked(500, 100));
-    assertTrue(rest.isOn(2_999));
-    assertFalse(rest.isOn(3_000));
+  public void aShorterBackoffDoesNotEndALongerOne() {
+    assertTrue(backoff.asked(3_000, 0));
+    assertFalse(backoff.asked(500, 100));
+    assertTrue(backoff.isOn(2_999));
+    assertFalse(backoff.isOn(3_000));
   }
 
   @Test
-  public void aRestThatEndsLaterHolds() {
-    rest.asked(3_000, 0);
-    assertTrue(rest.asked(3_000, 1_000));
-    assertEquals(rest.remainingMillis(3_000), 1_000);
-    assertEquals(rest.remainingMillis(9_000), 0);
+  public void aBackoffThatEndsLaterReplacesAnEarlierOne() {
+    backoff.asked(3_000, 0);
+    assertTrue(backoff.asked(3_000, 1_000));
+    assertEquals(backoff.remainingMillis(3_000), 1_000);
+    assertEquals(backoff.remainingMillis(9_000), 0);
   }
 
   @Test
-  public void withoutAWordThereIsNone() {
+  public void withoutARequestThereIsNoBackoff() {
     assertFalse(new BackendRest().isOn(0));
     assertEquals(new BackendRest().remainingMillis(Long.MAX_VALUE / 2), 0);
   }
--- a/gateway/src/test/java/org/lockdale/gateway/backend/BackendTableTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/backend/BackendTableTest.java
@@ -9,29 +9,29 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** What is kept of a server from one of its lives to the next. */
+/** Checks which state of a server is kept from one incarnation to the next. */
 public final class BackendTableTest {
 
   private static final InetSocketAddress ADDRESS =
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
 
-  private static Backend life(String id) {
+  private static Backend incarnation(String id) {
     return new Backend(id, "pool", ADDRESS, "zone", 4, false, Map.of());
   }
 
   @Test
-  public void aRestAskedByANextLifeBeforeItsRecordWasReadStands() {
-    BackendTable former = BackendTable.EMPTY.with(List.of(life("i-1@1")));
+  public void aBackoffRequestedByTheNextIncarnationBeforeItsRecordWasReadIsKept() {
+    BackendTable former = BackendTable.EMPTY.with(List.of(incarnation("i-1@1")));
     former.find("i-1@1").rest().asked(3_000, 0);
-    BackendTable next = former.with(List.of(life("i-1@2")));
+    BackendTable next = former.with(List.of(incarnation("i-1@2")));
     assertTrue(next.find("i-1@2").rest().isOn(2_999));
     assertFalse(next.find("i-1@2").rest().isOn(3_000));
   }
 
   @Test
-  public void theNextLifeOfAServerThatLeftDoesNotLeave() {
-    BackendTable former = BackendTable.EMPTY.with(List.of(life("i-1@1")));
+  public void theNextIncarnationOfADrainedServerIsNotDraining() {
+    BackendTable former = BackendTable.EMPTY.with(List.of(incarnation("i-1@1")));
     former.find("i-1@1").leave();
-    assertTrue(former.with(List.of(life("i-1@2"))).find("i-1@2").isServing());
+    assertTrue(former.with(List.of(incarnation("i-1@2"))).find("i-1@2").isServing());
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/backend/IncarnationTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/backend/IncarnationTest.java
@@ -13,7 +13,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The key of a life: read back as it was written, and understood from nodes that tell no start. */
+/**
+ * Checks that the text form of an incarnation is parsed back to it, and that names from nodes that
+ * send no start time are resolved.
+ */
 public final class IncarnationTest {
 
   @DataProvider
@@ -30,14 +33,14 @@
   }
 
   @Test(dataProvider = "incarnations")
-  public void theTextFormNamesOneIncarnation(Incarnation incarnation, String text) {
+  public void theTextFormIdentifiesOneIncarnation(Incarnation incarnation, String text) {
     assertEquals(incarnation.toString(), text);
     assertEquals(Incarnation.parse(text), incarnation);
     assertEquals(Incarnation.parse(text).server(), incarnation.server());
   }
 
   @Test
-  public void theStartTellsWhichLifeIsEarlier() {
+  public void theStartTimeDeterminesWhichIncarnationIsEarlier() {
     Incarnation first = Incarnation.of("i-1", 1L);
     Incarnation second = Incarnation.of("i-1", 2L);
     assertTrue(first.isBefore(second));
@@ -47,14 +50,16 @@
     assertFalse(Incarnation.of("i-1", null).isBefore(second));
   }
 
-  /** During a rolling update nodes of the earlier version name servers by their ids alone. */
+  /**
+   * During a rolling update, nodes of the earlier version send ids of servers without a start time.
+   */
   @Test
-  public void aNodeThatTellsNoStartMeansThePresentLife() {
+  public void aNameWithoutAStartTimeDenotesThePresentIncarnation() {
     BackendTable table = BackendTable.EMPTY.with(List.of(backend("i-1@2")));
     TrackedBackend present = table.find("i-1@2");
     assertSame(table.named("i-1"), present);
     assertSame(table.named("i-1@2"), present);
-    assertNull(table.named("i-1@1"), "a former life");
+    assertNull(table.named("i-1@1"), "a former incarnation");
     assertTrue(present.isAmong(Set.of("i-1")));
     assertFalse(present.isAmong(Set.of("i-1@1")));
   }
