--- a/gateway/src/main/java/org/lockdale/gateway/cache/CacheDirectory.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/CacheDirectory.java
@@ -16,23 +16,23 @@
 import org.lockdale.gateway.configuration.CacheStore;
 
 /**
- * What each engine and each store of cached prompts is believed to keep. A follower a holder runs
- * on one event loop; the request path reads from any thread.
+ * Known contents of each engine and each store of cached prompts. The followers, one for each
+ * holder, run on one event loop; the request path reads from any thread.
  */
 public final class CacheDirectory {
 
   private static final long RECONCILE_MILLIS = 500;
 
-  /** Engines beyond this number are not followed; what they keep stays unknown. */
+  /** Maximum number of engines to follow; the contents of further ones stay unknown. */
   private static final int MAX_FOLLOWED_ENGINES = 256;
 
-  private static final HeldParts NOTHING = new HeldParts();
+  private static final HeldParts EMPTY = new HeldParts();
 
   /**
-   * A store that answers.
+   * A store that responds.
    *
-   * @param address where it is reached
-   * @param held what it keeps
+   * @param address address at which it is reached
+   * @param held parts that it holds
    */
   public record StoreView(InetSocketAddress address, HeldParts held) {}
 
@@ -41,7 +41,7 @@
   private final EventLoop eventLoop;
   private final CacheEventSource source;
   private final Supplier<BackendTable> backends;
-  private final Supplier<List<CacheStore>> storesInForce;
+  private final Supplier<List<CacheStore>> configuredStores;
   private final Map<String, Holder> engines = new ConcurrentHashMap<>();
   private final Map<InetSocketAddress, Holder> stores = new ConcurrentHashMap<>();
   private volatile boolean following;
@@ -49,29 +49,34 @@
   /**
    * Creates a directory; {@link #start} starts it.
    *
-   * @param eventLoop runs the followers
-   * @param source asks holders
-   * @param backends back ends on record
-   * @param storesInForce the stores in force
+   * @param eventLoop event loop that runs the followers
+   * @param source source of the holders' changes and contents
+   * @param backends the backends with a record in the shared store
+   * @param configuredStores the stores of the configuration in force
    */
   public CacheDirectory(
       EventLoop eventLoop,
       CacheEventSource source,
       Supplier<BackendTable> backends,
-      Supplier<List<CacheStore>> storesInForce) {
+      Supplier<List<CacheStore>> configuredStores) {
     this.eventLoop = eventLoop;
     this.source = source;
     this.backends = backends;
-    this.storesInForce = storesInForce;
+    this.configuredStores = configuredStores;
   }
 
-  /** Starts to follow. */
+  /** Starts to reconcile the followers with the present holders. */
   public void start() {
     eventLoop.scheduleAtFixedRate(
         this::reconcile, RECONCILE_MILLIS, RECONCILE_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Follows the holders, or ceases to and forgets what they keep. */
+  /**
+   * Sets whether the holders are followed.
+   *
+   * @param wanted whether to follow them; where false, the followers are closed and their contents
+   *     dropped
+   */
   public void follow(boolean wanted) {
     following = wanted;
     eventLoop.execute(this::reconcile);
@@ -82,8 +87,8 @@
     Set<String> present = new HashSet<>();
     for (TrackedBackend tracked : backends.get().all()) {
       Backend backend = tracked.backend();
-      boolean room = present.size() < MAX_FOLLOWED_ENGINES;
-      if (following && !backend.weights().isEmpty() && room) {
+      boolean hasCapacity = present.size() < MAX_FOLLOWED_ENGINES;
+      if (following && !backend.weights().isEmpty() && hasCapacity) {
         present.add(backend.id());
         engines.computeIfAbsent(backend.id(), id -> follow(backend.address(), false));
       }
@@ -94,7 +99,7 @@
   private void followStores() {
     Set<InetSocketAddress> present = new HashSet<>();
     if (following) {
-      storesInForce.get().forEach(store -> present.add(store.address()));
+      configuredStores.get().forEach(store -> present.add(store.address()));
     }
     present.forEach(address -> stores.computeIfAbsent(address, absent -> follow(address, true)));
     closeAllBut(present, stores);
@@ -105,11 +110,11 @@
         .entrySet()
         .removeIf(
             entry -> {
-              boolean gone = !present.contains(entry.getKey());
-              if (gone) {
+              boolean isAbsent = !present.contains(entry.getKey());
+              if (isAbsent) {
                 entry.getValue().follower().close();
               }
-              return gone;
+              return isAbsent;
             });
   }
 
@@ -120,28 +125,28 @@
     return new Holder(address, held, follower);
   }
 
-  /** Returns what an engine keeps; nothing where it is not followed. */
+  /** Returns the parts that an engine holds; none where it is not followed. */
   public HeldParts engine(String id) {
     Holder holder = engines.get(id);
-    return holder == null ? NOTHING : holder.held();
+    return holder == null ? EMPTY : holder.held();
   }
 
   /**
-   * Returns the addresses of the stores in force, without those that are known not to answer. A
-   * node that follows no holders knows of none, and so returns all.
+   * Returns the addresses of the configured stores except those known not to respond. A node that
+   * follows no holders knows of no such store and returns all of them.
    */
   public List<InetSocketAddress> storeAddresses() {
     List<InetSocketAddress> addresses = new ArrayList<>();
-    for (CacheStore store : storesInForce.get()) {
+    for (CacheStore store : configuredStores.get()) {
       Holder holder = stores.get(store.address());
-      if (holder == null || !holder.held().isSilent()) {
+      if (holder == null || !holder.held().isUnresponsive()) {
         addresses.add(store.address());
       }
     }
     return addresses;
   }
 
-  /** Returns the stores that answer. */
+  /** Returns the stores that respond. */
   public List<StoreView> stores() {
     List<StoreView> answering = new ArrayList<>(stores.size());
     for (Holder holder : stores.values()) {
--- a/gateway/src/main/java/org/lockdale/gateway/cache/CacheEventPage.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/CacheEventPage.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Changes of what a holder keeps, or all that it keeps.
+ * Changes of the parts that a holder keeps, or all of its parts.
  *
- * @param epoch changes when the holder restarts and has lost everything
- * @param next where the next page begins
- * @param gap whether changes are missing, so that everything must be read anew
+ * @param epoch number that changes when the holder restarts, which loses all of its parts
+ * @param next position at which the next page begins
+ * @param gap whether changes are missing, so that the known contents are no longer valid
  * @param events the changes in order
  */
 public record CacheEventPage(long epoch, long next, boolean gap, List<CacheEvent> events) {}
--- a/gateway/src/main/java/org/lockdale/gateway/cache/CacheEventSource.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/CacheEventSource.java
@@ -4,18 +4,25 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 
-/** Port by which a holder of cached prompts tells what it keeps. Calls fail where it is down. */
+/**
+ * Port through which the contents of a holder of cached prompts are read. The futures complete
+ * exceptionally where the holder can't be reached.
+ */
 public interface CacheEventSource {
 
   /**
    * Waits for changes.
    *
    * @param holder address of the holder
-   * @param since where to begin
-   * @param wait longest time to wait for one
+   * @param since position at which to begin
+   * @param wait longest time to wait for a change
    */
   CompletableFuture<CacheEventPage> changes(InetSocketAddress holder, long since, Duration wait);
 
-  /** Reads all that the holder keeps. */
+  /**
+   * Reads all parts that the holder keeps.
+   *
+   * @param holder address of the holder
+   */
   CompletableFuture<CacheEventPage> contents(InetSocketAddress holder);
 }
--- a/gateway/src/main/java/org/lockdale/gateway/cache/CacheFollower.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/CacheFollower.java
@@ -8,8 +8,8 @@
 import org.tinylog.Logger;
 
 /**
- * Follows what one holder of cached prompts keeps. While it does not answer it counts as down. Runs
- * on one event loop.
+ * Follows the contents of one holder of cached prompts. The holder counts as unavailable while it
+ * does not respond. Runs on one event loop.
  */
 final class CacheFollower {
 
@@ -17,45 +17,48 @@
   private static final long FIRST_RETRY_MILLIS = 300;
   private static final int MAX_DOUBLINGS = 4;
 
-  /** Changes are gathered this long, so that a busy holder does not wake the node for each. */
-  private static final long GATHER_MILLIS = 100;
+  /**
+   * Delay between two polls, in milliseconds. Changes are batched for this time, so that a busy
+   * holder does not wake the node for each of them.
+   */
+  private static final long BATCH_MILLIS = 100;
 
   private final EventLoop eventLoop;
   private final CacheEventSource source;
   private final InetSocketAddress holder;
   private final HeldParts held;
-  private final boolean listFirst;
+  private final boolean snapshotFirst;
   private long epoch;
   private long next;
-  private boolean known;
+  private boolean inSync;
   private int failures;
   private boolean closed;
 
   /**
    * Creates a follower; {@link #start} starts it.
    *
-   * @param eventLoop runs the follower
-   * @param source asks the holder
+   * @param eventLoop event loop that runs the follower
+   * @param source source of the holder's changes and contents
    * @param holder address of the holder
-   * @param held where to write what it keeps
-   * @param listFirst whether to read all that it keeps at first, which holds its work up; else only
-   *     what is added from the first answer on is known
+   * @param held receives the parts that the holder keeps
+   * @param snapshotFirst whether to read all parts first, which interrupts the work of the holder;
+   *     otherwise only parts added from the first response on are known
    */
   CacheFollower(
       EventLoop eventLoop,
       CacheEventSource source,
       InetSocketAddress holder,
       HeldParts held,
-      boolean listFirst) {
+      boolean snapshotFirst) {
     this.eventLoop = eventLoop;
     this.source = source;
     this.holder = holder;
     this.held = held;
-    this.listFirst = listFirst;
+    this.snapshotFirst = snapshotFirst;
   }
 
   void start() {
-    eventLoop.execute(this::ask);
+    eventLoop.execute(this::poll);
   }
 
   void close() {
@@ -63,13 +66,13 @@
     held.setAvailable(false);
   }
 
-  private void ask() {
+  private void poll() {
     if (closed) {
       return;
     }
-    CompletableFuture<CacheEventPage> asked =
-        known || !listFirst ? source.changes(holder, next, WAIT) : source.contents(holder);
-    asked.whenCompleteAsync(
+    CompletableFuture<CacheEventPage> response =
+        inSync || !snapshotFirst ? source.changes(holder, next, WAIT) : source.contents(holder);
+    response.whenCompleteAsync(
         (page, failure) -> {
           if (closed) {
             return;
@@ -77,7 +80,7 @@
           if (failure == null) {
             accept(page);
           } else {
-            failed(failure);
+            pollFailed(failure);
           }
         },
         eventLoop);
@@ -85,34 +88,34 @@
 
   private void accept(CacheEventPage page) {
     failures = 0;
-    boolean restarted = known && page.epoch() != epoch;
+    boolean restarted = inSync && page.epoch() != epoch;
     if (restarted || page.gap()) {
       Logger.info("event=cache-gap holder={} restarted={}", holder, restarted);
       held.clear();
     }
-    if (restarted && listFirst) {
-      known = false;
-      ask();
+    if (restarted && snapshotFirst) {
+      inSync = false;
+      poll();
       return;
     }
-    known = true;
+    inSync = true;
     epoch = page.epoch();
     next = page.next();
     page.events().forEach(held::apply);
     held.setAvailable(true);
-    eventLoop.schedule(this::ask, GATHER_MILLIS, TimeUnit.MILLISECONDS);
+    eventLoop.schedule(this::poll, BATCH_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private void failed(Throwable failure) {
+  private void pollFailed(Throwable failure) {
     if (held.isAvailable()) {
       Logger.info("event=cache-holder-down holder={} cause=\"{}\"", holder, failure.getMessage());
     }
     held.setAvailable(false);
     held.clear();
-    known = false;
+    inSync = false;
     next = 0;
     long delay = FIRST_RETRY_MILLIS << Math.min(failures, MAX_DOUBLINGS);
     failures++;
-    eventLoop.schedule(this::ask, delay, TimeUnit.MILLISECONDS);
+    eventLoop.schedule(this::poll, delay, TimeUnit.MILLISECONDS);
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/cache/CachePlanner.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/CachePlanner.java
@@ -10,38 +10,40 @@
 import org.lockdale.gateway.caller.PromptPart;
 
 /**
- * Decides which cached prompts are moved instead of being computed anew. What a namespace holds was
- * made by one version of the weights for callers who may share it, so a move within a namespace is
- * always safe; where beliefs are wrong, a move finds nothing and costs a millisecond.
+ * Decides which cached prompts are transferred instead of being computed again. The contents of a
+ * namespace were computed with one version of the weights for callers who may share them, so a
+ * transfer within a namespace is always safe. Where the known contents are outdated, a transfer
+ * finds nothing and costs a millisecond.
  */
 public final class CachePlanner {
 
-  /** Shorter parts are not worth a message to other nodes. */
-  private static final long LEAST_TOLD_TOKENS = 1_000;
+  /** Minimum number of tokens for which other nodes are notified. Fewer are not worth a message. */
+  private static final long MIN_ANNOUNCED_TOKENS = 1_000;
 
   private final CacheDirectory directory;
-  private final BiConsumer<String, List<Long>> tellOthers;
+  private final BiConsumer<String, List<Long>> announceExpected;
 
   /**
    * Creates a planner.
    *
-   * @param directory what holders keep
-   * @param tellOthers tells other nodes which parts an engine will hold soon
+   * @param directory known contents of the holders
+   * @param announceExpected notifies other nodes of the parts, given by their keys, that an engine,
+   *     given by its id, will hold soon
    */
-  public CachePlanner(CacheDirectory directory, BiConsumer<String, List<Long>> tellOthers) {
+  public CachePlanner(CacheDirectory directory, BiConsumer<String, List<Long>> announceExpected) {
     this.directory = directory;
-    this.tellOthers = tellOthers;
+    this.announceExpected = announceExpected;
   }
 
   /**
-   * Finds out where the shared parts of a prompt are.
+   * Looks up which shared parts of a prompt are available at the holders.
    *
    * @param engines engines that may hold some of them
    * @param namespace namespace of the cached prompts
-   * @param parts parts of the prompt; the last one is its own
-   * @param nowMillis monotonic time
+   * @param parts parts of the prompt, the last of which is unique to the request
+   * @param nowMillis monotonic time in milliseconds
    */
-  public PrefixSurvey survey(
+  public PrefixAvailability locate(
       List<TrackedBackend> engines, String namespace, List<PromptPart> parts, long nowMillis) {
     List<PromptPart> shared = parts.isEmpty() ? parts : parts.subList(0, parts.size() - 1);
     List<Long> keys = new ArrayList<>(shared.size());
@@ -56,61 +58,71 @@
       confirmed = Math.max(confirmed, confirmedDepth(held, keys));
       expected = Math.max(expected, expectedDepth(held, keys, nowMillis));
     }
-    return new PrefixSurvey(List.copyOf(shared), keys, confirmed, expected);
+    return new PrefixAvailability(List.copyOf(shared), keys, confirmed, expected);
   }
 
-  /** Returns what an engine lacks of a surveyed prompt. */
-  public PrefixNeed need(TrackedBackend engine, PrefixSurvey survey, long nowMillis) {
+  /**
+   * Returns the shared parts of a prompt that an engine lacks.
+   *
+   * @param engine the engine
+   * @param availability availability of the shared parts
+   * @param nowMillis monotonic time in milliseconds
+   */
+  public PrefixNeed need(TrackedBackend engine, PrefixAvailability availability, long nowMillis) {
     HeldParts held = directory.engine(engine.backend().id());
-    return survey.needFrom(expectedDepth(held, survey.keys(), nowMillis));
+    return availability.missingFrom(expectedDepth(held, availability.keys(), nowMillis));
   }
 
   /**
-   * Plans the moves around one request, and expects the prompt's shared parts at the engine from
-   * now on.
+   * Plans the transfers around one request, and expects the shared parts of the prompt at the
+   * engine from now on.
    *
-   * @param target engine that serves it
+   * @param target engine that serves the request
    * @param others engines that may hold parts of the prompt
-   * @param survey where the shared parts are
-   * @param nowMillis monotonic time
+   * @param availability availability of the shared parts
+   * @param nowMillis monotonic time in milliseconds
    */
   public CacheTransfer plan(
-      TrackedBackend target, List<TrackedBackend> others, PrefixSurvey survey, long nowMillis) {
-    List<Long> keys = survey.keys();
+      TrackedBackend target,
+      List<TrackedBackend> others,
+      PrefixAvailability availability,
+      long nowMillis) {
+    List<Long> keys = availability.keys();
     if (keys.isEmpty()) {
       return CacheTransfer.NONE;
     }
     InetSocketAddress source = sourceOf(target, others, keys);
-    PrefixNeed need = need(target, survey, nowMillis);
+    PrefixNeed need = need(target, availability, nowMillis);
     HeldParts held = directory.engine(target.backend().id());
     keys.forEach(key -> held.expect(key, nowMillis));
-    if (need.computed() >= LEAST_TOLD_TOKENS) {
-      tellOthers.accept(target.backend().id(), keys);
+    if (need.computed() >= MIN_ANNOUNCED_TOKENS) {
+      announceExpected.accept(target.backend().id(), keys);
     }
     return new CacheTransfer(source, destinationOf(keys, nowMillis));
   }
 
   /**
-   * Returns the holder of the longest prefix, the engine itself aside; where none is known to hold
-   * any of it, the prompt's home among the stores. An engine takes only what it lacks, so a source
-   * costs nothing where beliefs are right. Where they are not, since the engine dropped parts or
-   * the home received them while the request waited, it saves computing them again.
+   * Returns the holder, other than the engine itself, of the longest prefix. Where none is known to
+   * hold any of it, returns the home of the prompt among the stores. An engine fetches only the
+   * parts that it lacks, so a source costs nothing where the known contents are right. Where they
+   * are not, because the engine has dropped parts or the home has received them while the request
+   * waited, it saves computing them again.
    */
   private @Nullable InetSocketAddress sourceOf(
       TrackedBackend target, List<TrackedBackend> others, List<Long> keys) {
-    int longest = 0;
+    int maxDepth = 0;
     InetSocketAddress source = homeAmong(directory.storeAddresses(), keys.get(keys.size() - 1));
     for (CacheDirectory.StoreView store : directory.stores()) {
       int depth = confirmedDepth(store.held(), keys);
-      if (depth > longest) {
-        longest = depth;
+      if (depth > maxDepth) {
+        maxDepth = depth;
         source = store.address();
       }
     }
     for (TrackedBackend other : others) {
       int depth = other == target ? 0 : confirmedDepthAt(other, keys);
-      if (depth > longest) {
-        longest = depth;
+      if (depth > maxDepth) {
+        maxDepth = depth;
         source = other.backend().address();
       }
     }
@@ -138,9 +150,10 @@
   }
 
   /**
-   * A prompt is saved by the request that first finds its shared parts missing at their home, the
-   * store that ranks first for the deepest of them. So each prompt is kept once, and all stores
-   * together keep as many as they have room for.
+   * Returns the store to which the request has to save the prompt, or null for none. A prompt is
+   * saved by the first request that finds its shared parts missing at their home, the store that
+   * ranks first for the deepest of them. Each prompt is therefore stored once, and all stores
+   * together hold as many prompts as fit into their total capacity.
    */
   private @Nullable InetSocketAddress destinationOf(List<Long> keys, long nowMillis) {
     long deepest = keys.get(keys.size() - 1);
--- a/gateway/src/main/java/org/lockdale/gateway/cache/CacheTransfer.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/CacheTransfer.java
@@ -4,14 +4,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Moves of cached prompts around one request.
+ * Transfers of cached prompts around one request.
  *
- * @param source where the engine first takes what it lacks of the prompt, or null for nowhere
- * @param destination where it sends the parts that it has read, or null for nowhere
+ * @param source holder from which the engine first fetches the parts that it lacks, or null for
+ *     none
+ * @param destination store to which the engine sends the parts that it has processed, or null for
+ *     none
  */
 public record CacheTransfer(
     @Nullable InetSocketAddress source, @Nullable InetSocketAddress destination) {
 
-  /** Nothing is moved. */
+  /** No transfers. */
   public static final CacheTransfer NONE = new CacheTransfer(null, null);
 }
--- a/gateway/src/main/java/org/lockdale/gateway/cache/HeldParts.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/HeldParts.java
@@ -5,22 +5,24 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Parts of prompts that one holder, an engine or a store, is believed to keep. Its follower writes
- * what the holder tells; the request path adds what it expects there soon. Safe for use by several
- * threads.
+ * Parts of prompts that one holder, an engine or a store, is known or expected to keep. Its
+ * follower records the parts that the holder reports; the request path adds parts that it expects
+ * there soon. Safe for use by several threads.
  */
 public final class HeldParts {
 
-  /** An expectation that the holder has not confirmed by then is given up. */
+  /**
+   * Time in milliseconds after which an expectation is dropped if the holder has not confirmed it.
+   */
   private static final long EXPECTATION_MILLIS = 1_500;
 
-  /** Expectations beyond this number are not kept. */
+  /** Maximum number of expectations; further ones are discarded. */
   private static final int MAX_EXPECTATIONS = 4_096;
 
-  private final Map<Long, Boolean> told = new ConcurrentHashMap<>();
+  private final Map<Long, Boolean> confirmed = new ConcurrentHashMap<>();
   private final Map<Long, Long> expectedUntilMillis = new ConcurrentHashMap<>();
   private volatile boolean available;
-  private volatile boolean silent;
+  private volatile boolean unresponsive;
 
   /** Returns the key of a part within a namespace. */
   public static long keyOf(String namespace, String part) {
@@ -28,34 +30,39 @@
     return LongHashFunction.xx3(seed).hashChars(part);
   }
 
-  /** Returns whether the holder answers at present. */
+  /** Returns whether the holder responded when it was last polled. */
   public boolean isAvailable() {
     return available;
   }
 
-  /** Returns whether the holder did not answer when it was last asked. */
-  public boolean isSilent() {
-    return silent;
+  /**
+   * Returns whether the holder failed to respond when it was last polled, or is no longer followed.
+   * A holder that has not been polled yet is neither available nor unresponsive.
+   */
+  public boolean isUnresponsive() {
+    return unresponsive;
   }
 
-  /** Returns whether a part is believed to be there. */
+  /** Returns whether a part is confirmed or expected to be there. */
   public boolean contains(long key, long nowMillis) {
-    if (told.containsKey(key)) {
+    if (confirmed.containsKey(key)) {
       return true;
     }
     Long until = expectedUntilMillis.get(key);
     return until != null && nowMillis < until;
   }
 
-  /** Returns whether the holder itself has told that a part is there. */
+  /** Returns whether the holder itself has reported that it keeps a part. */
   public boolean isConfirmed(long key) {
-    return told.containsKey(key);
+    return confirmed.containsKey(key);
   }
 
   /**
-   * Notes that a part will be there, though the holder has not told so yet.
+   * Records that a part will be there soon, though the holder has not reported it yet.
    *
-   * @return whether it was neither there nor expected
+   * @param key key of the part
+   * @param nowMillis monotonic time in milliseconds
+   * @return whether the part was neither confirmed nor expected
    */
   public boolean expect(long key, long nowMillis) {
     if (contains(key, nowMillis)) {
@@ -73,19 +80,19 @@
   void apply(CacheEvent event) {
     long key = keyOf(event.namespace(), event.part());
     if (event.added()) {
-      told.put(key, Boolean.TRUE);
+      confirmed.put(key, Boolean.TRUE);
     } else {
-      told.remove(key);
+      confirmed.remove(key);
     }
   }
 
   void clear() {
-    told.clear();
+    confirmed.clear();
     expectedUntilMillis.clear();
   }
 
   void setAvailable(boolean nowAvailable) {
     available = nowAvailable;
-    silent = !nowAvailable;
+    unresponsive = !nowAvailable;
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/cache/PrefixSurvey.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/PrefixAvailability.java
@@ -4,19 +4,24 @@
 import org.lockdale.gateway.caller.PromptPart;
 
 /**
- * Where the shared parts of one prompt are within one namespace. A part is of use only if all parts
- * before it are there too, so depths are counted from the first part.
+ * Availability of the shared parts of one prompt within one namespace. A part is useful only
+ * together with all parts before it, so availability is measured as a depth, counted from the first
+ * part.
  *
  * @param parts shared parts of the prompt, in order
  * @param keys their keys within the namespace
- * @param confirmedDepth parts that some holder has told it keeps
- * @param expectedDepth parts that some engine keeps or will hold soon
+ * @param confirmedDepth greatest number of leading parts that a holder has reported to keep
+ * @param expectedDepth greatest number of leading parts that an engine keeps or will hold soon
  */
-public record PrefixSurvey(
+public record PrefixAvailability(
     List<PromptPart> parts, List<Long> keys, int confirmedDepth, int expectedDepth) {
 
-  /** Returns what an engine lacks that holds the parts up to a depth, or will hold them soon. */
-  public PrefixNeed needFrom(int depth) {
+  /**
+   * Returns the parts that an engine lacks.
+   *
+   * @param depth number of leading parts that the engine holds or will hold soon
+   */
+  public PrefixNeed missingFrom(int depth) {
     long fetchable = 0;
     long recomputed = 0;
     long unknown = 0;
--- a/gateway/src/main/java/org/lockdale/gateway/cache/PrefixNeed.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/PrefixNeed.java
@@ -1,16 +1,16 @@
 package org.lockdale.gateway.cache;
 
 /**
- * What an engine lacks of a prompt's shared parts.
+ * Shared parts of a prompt that an engine lacks, in tokens.
  *
  * @param fetchable tokens that another holder has
  * @param recomputed tokens that another engine is about to compute, and that would be computed
  *     twice
- * @param unknown tokens that nobody is known to have or compute
+ * @param unknown tokens that no holder is known to have or to compute
  */
 public record PrefixNeed(long fetchable, long recomputed, long unknown) {
 
-  /** Returns the tokens that the engine would compute itself. */
+  /** Returns the number of tokens that the engine would have to compute. */
   public long computed() {
     return recomputed + unknown;
   }
--- a/gateway/src/main/java/org/lockdale/gateway/cache/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/package-info.java
@@ -1,4 +1,7 @@
-/** Where cached prompts are believed to be, and how they are moved instead of computed anew. */
+/**
+ * Known locations of cached prompts, and their transfer between holders instead of computing them
+ * again.
+ */
 @NullMarked
 package org.lockdale.gateway.cache;
 
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PlacementDecider.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PlacementDecider.java
@@ -14,8 +14,8 @@
 import org.lockdale.gateway.cache.CacheNamespace;
 import org.lockdale.gateway.cache.CachePlanner;
 import org.lockdale.gateway.cache.CacheTransfer;
+import org.lockdale.gateway.cache.PrefixAvailability;
 import org.lockdale.gateway.cache.PrefixNeed;
-import org.lockdale.gateway.cache.PrefixSurvey;
 import org.lockdale.gateway.rate.BackendRates;
 import org.lockdale.gateway.weights.WeightsPolicy;
 
@@ -122,7 +122,7 @@
     private final boolean forThisNode;
     private final long nowMillis;
     private final List<TrackedBackend> candidates;
-    private final Map<String, PrefixSurvey> surveys = new HashMap<>();
+    private final Map<String, PrefixAvailability> availabilities = new HashMap<>();
 
     /**
      * Candidates whose rate limit turned out to be used up, since another thread took the last
@@ -213,7 +213,7 @@
       CacheTransfer transfer =
           weights == null || prompt == null
               ? CacheTransfer.NONE
-              : cachePlanner.plan(target, candidates, surveyFor(target), nowMillis);
+              : cachePlanner.plan(target, candidates, availabilityFor(target), nowMillis);
       return new Placement(
           target, weights, transfer, computed, chooser.waitingTokens(target), null);
     }
@@ -259,13 +259,13 @@
     }
 
     private PrefixNeed needOf(TrackedBackend candidate) {
-      return cachePlanner.need(candidate, surveyFor(candidate), nowMillis);
+      return cachePlanner.need(candidate, availabilityFor(candidate), nowMillis);
     }
 
-    private PrefixSurvey surveyFor(TrackedBackend candidate) {
+    private PrefixAvailability availabilityFor(TrackedBackend candidate) {
       String namespace = CacheNamespace.of(weightsOf(candidate), query.isolatedTenant());
-      return surveys.computeIfAbsent(
-          namespace, name -> cachePlanner.survey(candidates, name, query.parts(), nowMillis));
+      return availabilities.computeIfAbsent(
+          namespace, name -> cachePlanner.locate(candidates, name, query.parts(), nowMillis));
     }
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/cache/CachePlannerTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cache/CachePlannerTest.java
@@ -26,7 +26,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Moves of cached prompts follow what holders keep, within one namespace only. */
+/**
+ * Checks that transfers of cached prompts follow the contents of the holders, within one namespace
+ * only.
+ */
 public final class CachePlannerTest {
 
   private static final long WAIT_NANOS = TimeUnit.SECONDS.toNanos(10);
@@ -35,9 +38,12 @@
   private static final List<PromptPart> PARTS =
       List.of(new PromptPart("root", 1_000), new PromptPart("deep", 2_000), OWN);
 
-  /** Holders that answer calls at once while there is news, and fail while they are down. */
+  /**
+   * Holders that respond to polls at once, with the events added so far, and fail while they are
+   * down.
+   */
   private static final class ScriptedHolders implements CacheEventSource {
-    private final Map<InetSocketAddress, List<CacheEvent>> news = new HashMap<>();
+    private final Map<InetSocketAddress, List<CacheEvent>> pendingEvents = new HashMap<>();
     private final Map<InetSocketAddress, Long> epochs = new HashMap<>();
     private final List<InetSocketAddress> down = new ArrayList<>();
 
@@ -47,7 +53,7 @@
       if (down.contains(holder)) {
         return CompletableFuture.failedFuture(new IllegalStateException("down"));
       }
-      List<CacheEvent> events = news.remove(holder);
+      List<CacheEvent> events = pendingEvents.remove(holder);
       return CompletableFuture.completedFuture(
           new CacheEventPage(
               epochs.getOrDefault(holder, 1L),
@@ -61,9 +67,11 @@
       return changes(holder, 0, Duration.ZERO);
     }
 
-    synchronized void tell(InetSocketAddress holder, boolean added, String space, String part) {
-      news.computeIfAbsent(holder, address -> new ArrayList<>())
-          .add(new CacheEvent(added, space, part, 100));
+    synchronized void addEvent(
+        InetSocketAddress holder, boolean added, String namespace, String part) {
+      pendingEvents
+          .computeIfAbsent(holder, address -> new ArrayList<>())
+          .add(new CacheEvent(added, namespace, part, 100));
     }
 
     synchronized void setDown(InetSocketAddress holder) {
@@ -78,7 +86,7 @@
   private final TrackedBackend target = engine("target", 1);
   private final TrackedBackend other = engine("other", 2);
   private final List<TrackedBackend> engines = List.of(target, other);
-  private final List<String> toldEngines = new ArrayList<>();
+  private final List<String> announcedEngines = new ArrayList<>();
   private final List<CacheStore> stores = new ArrayList<>();
   private ScriptedHolders holders;
   private DefaultEventLoop eventLoop;
@@ -97,7 +105,7 @@
   @BeforeMethod
   public void start() {
     holders = new ScriptedHolders();
-    toldEngines.clear();
+    announcedEngines.clear();
     stores.clear();
     stores.add(new CacheStore("store", STORE, "zone"));
     eventLoop = new DefaultEventLoop();
@@ -106,7 +114,7 @@
     directory = new CacheDirectory(eventLoop, holders, () -> table, () -> stores);
     directory.start();
     directory.follow(true);
-    planner = new CachePlanner(directory, (engine, parts) -> toldEngines.add(engine));
+    planner = new CachePlanner(directory, (engine, parts) -> announcedEngines.add(engine));
     await(() -> !directory.stores().isEmpty());
     await(() -> engines.stream().allMatch(e -> directory.engine(e.backend().id()).isAvailable()));
   }
@@ -138,21 +146,21 @@
 
   private void storeKeeps(String... parts) {
     for (String part : parts) {
-      holders.tell(STORE, true, "1", part);
+      holders.addEvent(STORE, true, "1", part);
     }
     await(() -> holds(storeHeld(), "1", parts[parts.length - 1]));
   }
 
   private PrefixNeed need(TrackedBackend engine, long now) {
-    return planner.need(engine, planner.survey(engines, "1", PARTS, now), now);
+    return planner.need(engine, planner.locate(engines, "1", PARTS, now), now);
   }
 
   private CacheTransfer plan(String namespace, long now) {
-    return planner.plan(target, engines, planner.survey(engines, namespace, PARTS, now), now);
+    return planner.plan(target, engines, planner.locate(engines, namespace, PARTS, now), now);
   }
 
   @Test
-  public void whatTheStoreKeepsIsFetchedThereAndNotSavedAgain() {
+  public void partsInTheStoreAreFetchedThereAndNotSavedAgain() {
     storeKeeps("root", "deep");
     assertEquals(plan("1", 0), new CacheTransfer(STORE, null));
   }
@@ -167,37 +175,42 @@
       List<PromptPart> parts =
           List.of(new PromptPart("root", 10), new PromptPart("p" + prompt, 20), OWN);
       destinations.add(
-          planner.plan(target, engines, planner.survey(engines, "1", parts, 0), 0).destination());
+          planner.plan(target, engines, planner.locate(engines, "1", parts, 0), 0).destination());
     }
     assertEquals(destinations, Set.of(STORE, second));
-    holders.tell(second, true, "1", "root");
-    holders.tell(second, true, "1", "deep");
+    holders.addEvent(second, true, "1", "root");
+    holders.addEvent(second, true, "1", "deep");
     await(() -> need(other, 0).fetchable() == 3_000);
     assertEquals(plan("1", 0).source(), second);
   }
 
   @Test
-  public void aPartWithoutThoseBeforeItIsOfNoUse() {
+  public void aPartWithoutThePrecedingOnesIsNotUsed() {
     storeKeeps("deep");
     assertEquals(need(other, 0), new PrefixNeed(0, 0, 3_000));
     assertEquals(
-        plan("1", 0), new CacheTransfer(STORE, null), "it may receive the first meanwhile");
+        plan("1", 0),
+        new CacheTransfer(STORE, null),
+        "the store may receive the first part in the meantime");
   }
 
   @Test
-  public void anotherNamespaceIsNeverTouched() {
+  public void partsOfAnotherNamespaceAreNotUsed() {
     storeKeeps("root", "deep");
     assertEquals(need(other, 0), new PrefixNeed(3_000, 0, 0));
-    PrefixSurvey survey = planner.survey(engines, "2", PARTS, 0);
-    assertEquals(planner.need(other, survey, 0), new PrefixNeed(0, 0, 3_000));
-    assertEquals(plan("2", 0), new CacheTransfer(STORE, STORE), "the home of its own parts");
+    PrefixAvailability availability = planner.locate(engines, "2", PARTS, 0);
+    assertEquals(planner.need(other, availability, 0), new PrefixNeed(0, 0, 3_000));
+    assertEquals(
+        plan("2", 0),
+        new CacheTransfer(STORE, STORE),
+        "the store is the home of the parts of this namespace");
   }
 
   @Test
-  public void theHolderOfTheLongestPrefixIsAsked() {
+  public void partsAreFetchedFromTheHolderOfTheLongestPrefix() {
     storeKeeps("root");
-    holders.tell(other.backend().address(), true, "1", "root");
-    holders.tell(other.backend().address(), true, "1", "deep");
+    holders.addEvent(other.backend().address(), true, "1", "root");
+    holders.addEvent(other.backend().address(), true, "1", "deep");
     await(() -> holds(directory.engine("other"), "1", "deep"));
     assertEquals(plan("1", 0).source(), other.backend().address());
     assertEquals(need(other, 0), new PrefixNeed(0, 0, 0));
@@ -208,22 +221,23 @@
     assertEquals(plan("1", 0), new CacheTransfer(STORE, STORE));
     assertEquals(plan("1", 100), new CacheTransfer(STORE, null));
     assertEquals(need(target, 100), new PrefixNeed(0, 0, 0));
-    assertEquals(plan("1", 10_000), new CacheTransfer(STORE, STORE), "it was never confirmed");
+    assertEquals(
+        plan("1", 10_000), new CacheTransfer(STORE, STORE), "the expectation was never confirmed");
   }
 
-  /** What an engine keeps may give way while the request waits there. */
+  /** The engine may drop parts while the request waits there. */
   @Test
-  public void theStoreIsNamedEvenWhereTheEngineIsBelievedToKeepAll() {
+  public void theStoreIsTheSourceEvenIfTheEngineIsKnownToHoldAllParts() {
     storeKeeps("root", "deep");
-    holders.tell(target.backend().address(), true, "1", "root");
-    holders.tell(target.backend().address(), true, "1", "deep");
+    holders.addEvent(target.backend().address(), true, "1", "root");
+    holders.addEvent(target.backend().address(), true, "1", "deep");
     await(() -> holds(directory.engine("target"), "1", "deep"));
     assertEquals(plan("1", 0).source(), STORE);
   }
 
-  /** Such a node places requests itself while no relay answers. */
+  /** Such a node places requests itself while no relay responds. */
   @Test
-  public void aNodeThatFollowsNoHoldersNamesTheHomeAsASource() {
+  public void aNodeThatFollowsNoHoldersUsesTheHomeAsTheSource() {
     storeKeeps("root", "deep");
     directory.follow(false);
     await(() -> directory.stores().isEmpty());
@@ -231,20 +245,20 @@
   }
 
   @Test
-  public void whatOneEngineComputesWouldBeComputedTwiceElsewhere() {
+  public void partsThatOneEngineComputesWouldBeComputedTwiceElsewhere() {
     assertEquals(need(other, 0), new PrefixNeed(0, 0, 3_000));
     plan("1", 0);
-    assertEquals(toldEngines, List.of("target"));
+    assertEquals(announcedEngines, List.of("target"));
     assertEquals(need(other, 1), new PrefixNeed(0, 3_000, 0));
-    holders.tell(target.backend().address(), true, "1", "root");
+    holders.addEvent(target.backend().address(), true, "1", "root");
     await(() -> directory.engine("target").isConfirmed(HeldParts.keyOf("1", "root")));
     assertEquals(need(other, 2), new PrefixNeed(1_000, 2_000, 0));
     plan("1", 3);
-    assertEquals(toldEngines, List.of("target"), "it is told once");
+    assertEquals(announcedEngines, List.of("target"), "the parts are announced once");
   }
 
   @Test
-  public void aStoreThatDoesNotAnswerIsNotUsed() {
+  public void aStoreThatDoesNotRespondIsNotUsed() {
     storeKeeps("root", "deep");
     holders.setDown(STORE);
     await(() -> directory.stores().isEmpty());
@@ -252,9 +266,9 @@
   }
 
   @Test
-  public void whatAHolderDropsOrLosesByARestartIsNoLongerBelieved() {
+  public void partsThatAHolderDropsOrLosesInARestartAreForgotten() {
     storeKeeps("root", "deep");
-    holders.tell(STORE, false, "1", "deep");
+    holders.addEvent(STORE, false, "1", "deep");
     await(() -> !holds(storeHeld(), "1", "deep"));
     holders.restart(STORE);
     await(() -> !holds(storeHeld(), "1", "root"));
--- a/gateway/src/test/java/org/lockdale/gateway/cache/SilentHolders.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cache/SilentHolders.java
@@ -4,7 +4,7 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 
-/** Holders of cached prompts that never answer. */
+/** Holders of cached prompts that never respond. */
 public final class SilentHolders implements CacheEventSource {
 
   @Override
