--- a/gateway/src/main/java/org/lockdale/gateway/weights/EngineMove.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/EngineMove.java
@@ -1,11 +1,11 @@
 package org.lockdale.gateway.weights;
 
 /**
- * What the coordinator of a rollout tells the other nodes of one engine.
+ * Announcement of the rollout coordinator to the other nodes about one engine.
  *
  * @param engine id of the engine
- * @param model model whose weights are meant
+ * @param model model whose weights the engine loads
  * @param version version that it moves to or holds
- * @param moving whether it is still on its way and takes no requests of the model
+ * @param moving whether it is still loading the version and accepts no requests for the model
  */
 public record EngineMove(String engine, String model, long version, boolean moving) {}
--- a/gateway/src/main/java/org/lockdale/gateway/weights/EngineState.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/EngineState.java
@@ -5,26 +5,28 @@
 import org.lockdale.gateway.backend.Incarnation;
 
 /**
- * What an engine tells of itself.
+ * State of an engine as it reports it.
  *
- * @param incarnation which life of the engine tells it
+ * @param incarnation incarnation of the engine that reports it
  * @param weights version of the weights of each model
- * @param busy whether an order is under way
- * @param orderCount orders it has taken since its start
+ * @param busy whether it is carrying out an order
+ * @param orderCount number of orders that it has received since its start
  */
 public record EngineState(
     Incarnation incarnation, Map<String, Long> weights, boolean busy, long orderCount) {
 
   /**
-   * Returns whether the life on record tells it. Where either tells no start, the server's id
-   * decides alone.
+   * Returns whether this is the state of the incarnation in a record. Where either has no start
+   * time, the ids of the servers are compared alone.
+   *
+   * @param engine the record
    */
   public boolean isOf(Backend engine) {
-    Incarnation onRecord = engine.incarnation();
+    Incarnation recorded = engine.incarnation();
     boolean comparable =
-        incarnation.startedAtMillis().isPresent() && onRecord.startedAtMillis().isPresent();
+        incarnation.startedAtMillis().isPresent() && recorded.startedAtMillis().isPresent();
     return comparable
-        ? incarnation.equals(onRecord)
-        : incarnation.server().equals(onRecord.server());
+        ? incarnation.equals(recorded)
+        : incarnation.server().equals(recorded.server());
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/weights/EngineUpdate.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/EngineUpdate.java
@@ -9,35 +9,37 @@
 import org.tinylog.Logger;
 
 /**
- * Moves one engine to a version of weights: asks for its state, gives the order, and asks again
- * until the engine holds the version. An order without an answer is never repeated blindly, since
- * it may still be carried out: the next one names the number of orders that the engine has taken,
- * so that at most one of them takes effect. Runs on one event loop.
+ * Moves one engine to a version of weights: queries its state, gives the order, and queries again
+ * until the engine holds the version. An order without a response may still be carried out, so it
+ * is never simply repeated: the next order includes the number of orders that the engine has
+ * received, so that at most one of them takes effect. Runs on one event loop.
  */
 final class EngineUpdate {
 
   private static final long FIRST_CHECK_MILLIS = 650;
   private static final long CHECK_MILLIS = 250;
 
-  /** Time for the other nodes to hear that an engine moves. */
-  private static final long NOTICE_MILLIS = 40;
+  /** Time for the announcement that an engine moves to reach the other nodes, in milliseconds. */
+  private static final long PROPAGATION_MILLIS = 40;
 
   /**
-   * How often the other nodes are told again of an engine that is still on its way, a quarter of
-   * the time for which they believe it. An engine that first ends its runs takes up to 7.5 s for an
-   * order: believed to be back sooner, it looks idle and draws requests, each turned away.
+   * Interval, in milliseconds, at which the announcement of an engine that still moves is repeated:
+   * a quarter of the time for which it is valid. An engine that first completes its running
+   * requests takes up to 7.5 s for an order. If the announcement expired sooner, the engine would
+   * look idle and attract requests, each of which it would reject.
    */
-  private static final long RENEWAL_MILLIS = RolloutProgress.BELIEF_MILLIS / 4;
+  private static final long RENEWAL_MILLIS = RolloutProgress.ANNOUNCEMENT_TTL_MILLIS / 4;
 
   /**
-   * Longest time for which an order waits for prompts that the engine reads, since it turns away
-   * what has not begun. An engine reads 23,000 tokens in it at 38 tokens a millisecond.
+   * Longest time, in milliseconds, for which an order waits until the engine has processed the
+   * prompts that it is reading, since it rejects requests whose response has not begun. In this
+   * time an engine processes 23,000 tokens, at 38 tokens a millisecond.
    */
-  private static final long MAX_READING_MILLIS = 600;
+  private static final long MAX_PREFILL_WAIT_MILLIS = 600;
 
-  private static final long READING_CHECK_MILLIS = 20;
+  private static final long PREFILL_CHECK_MILLIS = 20;
 
-  private static final long GIVE_UP_MILLIS = 6_000;
+  private static final long TIMEOUT_MILLIS = 6_000;
 
   private final EventLoop eventLoop;
   private final RolloutTools tools;
@@ -66,14 +68,18 @@
     this.startedAtMillis = nowMillis.getAsLong();
   }
 
-  /** Starts the update; the future tells whether the engine holds the version. */
+  /**
+   * Starts the update.
+   *
+   * @return completes with whether the engine holds the version; never completes exceptionally
+   */
   CompletableFuture<Boolean> start() {
     check();
     return done;
   }
 
   private void check() {
-    if (nowMillis.getAsLong() - startedAtMillis > GIVE_UP_MILLIS) {
+    if (nowMillis.getAsLong() - startedAtMillis > TIMEOUT_MILLIS) {
       done.complete(false);
       return;
     }
@@ -105,7 +111,11 @@
     done.complete(false);
   }
 
-  /** Orders are counted from a start on, so one that was meant for a former life could fit. */
+  /**
+   * Handles another incarnation at the address of the engine. No order is given to it: orders are
+   * counted from the start of the engine, so the expected count of the former incarnation could
+   * match by chance.
+   */
   private void replaced() {
     tools.onReplaced().accept(move.engine());
     done.complete(false);
@@ -123,25 +133,29 @@
     }
   }
 
-  /** The other nodes are told first, so that what they send meanwhile is not turned away. */
+  /**
+   * Announces the move before giving the order, so that requests that the other nodes send in the
+   * meantime are not rejected.
+   */
   private void announceThenOrder(EngineState state) {
     if (announced) {
       order(state);
       return;
     }
     announce();
-    long latest = nowMillis.getAsLong() + NOTICE_MILLIS + MAX_READING_MILLIS;
-    orderWhenReadAfter(NOTICE_MILLIS, latest, state);
+    long deadlineMillis = nowMillis.getAsLong() + PROPAGATION_MILLIS + MAX_PREFILL_WAIT_MILLIS;
+    schedulePrefillCheck(PROPAGATION_MILLIS, deadlineMillis, state);
   }
 
-  private void orderWhenReadAfter(long millis, long latestMillis, EngineState state) {
-    eventLoop.schedule(() -> orderWhenRead(latestMillis, state), millis, TimeUnit.MILLISECONDS);
+  private void schedulePrefillCheck(long millis, long deadlineMillis, EngineState state) {
+    eventLoop.schedule(
+        () -> orderAfterPrefill(deadlineMillis, state), millis, TimeUnit.MILLISECONDS);
   }
 
-  private void orderWhenRead(long latestMillis, EngineState state) {
-    boolean reading = tools.waitingTokens().applyAsLong(move.engine()) > 0;
-    if (reading && nowMillis.getAsLong() < latestMillis) {
-      orderWhenReadAfter(READING_CHECK_MILLIS, latestMillis, state);
+  private void orderAfterPrefill(long deadlineMillis, EngineState state) {
+    boolean prefilling = tools.waitingTokens().applyAsLong(move.engine()) > 0;
+    if (prefilling && nowMillis.getAsLong() < deadlineMillis) {
+      schedulePrefillCheck(PREFILL_CHECK_MILLIS, deadlineMillis, state);
     } else {
       order(state);
     }
@@ -150,10 +164,13 @@
   private void announce() {
     announced = true;
     announcedAtMillis = nowMillis.getAsLong();
-    tools.announcer().accept(moveRow(true));
+    tools.announcer().accept(announcement(true));
   }
 
-  /** Also tells of an engine that was found to carry out an order of an earlier update. */
+  /**
+   * Repeats the announcement when it is due. It is also made for an engine found to be carrying out
+   * an order of an earlier update.
+   */
   private void renewAnnouncement() {
     if (!announced || nowMillis.getAsLong() - announcedAtMillis >= RENEWAL_MILLIS) {
       announce();
@@ -167,12 +184,12 @@
         move.version(),
         nowMillis.getAsLong() - startedAtMillis);
     if (announced) {
-      tools.announcer().accept(moveRow(false));
+      tools.announcer().accept(announcement(false));
     }
     done.complete(true);
   }
 
-  private EngineMove moveRow(boolean moving) {
+  private EngineMove announcement(boolean moving) {
     return new EngineMove(move.engine().backend().id(), move.model(), move.version(), moving);
   }
 
@@ -186,7 +203,7 @@
     tools
         .control()
         .load(move.engine().backend(), order)
-        .whenCompleteAsync((outcome, impossible) -> ordered(outcome), eventLoop);
+        .whenCompleteAsync((outcome, unusedFailure) -> ordered(outcome), eventLoop);
   }
 
   private void ordered(OrderOutcome outcome) {
--- a/gateway/src/main/java/org/lockdale/gateway/weights/NamedVersion.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/NamedVersion.java
@@ -1,11 +1,12 @@
 package org.lockdale.gateway.weights;
 
 /**
- * A version of a model's weights that operators have named.
+ * Version of a model's weights that operators have set as the target.
  *
  * @param version the version
- * @param notBeforeMillis monotonic time before which it can't have been named; where it is
- *     estimated, the time from which this node has to count
- * @param estimated whether no node is known to have witnessed that the version was not named before
+ * @param notBeforeMillis monotonic time in milliseconds before which it can't have been set; where
+ *     estimated, the time from which this node has to measure its age
+ * @param estimated whether no node is known to have observed that the version had not been set
+ *     before
  */
 public record NamedVersion(long version, long notBeforeMillis, boolean estimated) {}
--- a/gateway/src/main/java/org/lockdale/gateway/weights/NamedWeights.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/NamedWeights.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The versions of weights that operators have named, newest last, for each model. Immutable. */
+/** Target versions of the weights of each model, as set by operators, oldest first. Immutable. */
 public final class NamedWeights {
 
-  /** No versions. */
+  /** No target versions. */
   public static final NamedWeights NONE = new NamedWeights(Map.of());
 
-  /** Versions that are remembered for a model; older ones have long been due. */
+  /** Maximum number of versions kept for a model. Older ones have long been due. */
   private static final int MAX_VERSIONS = 16;
 
   private final Map<String, List<NamedVersion>> byModel;
@@ -24,22 +24,23 @@
   }
 
   /**
-   * Returns these with the newest versions as read.
+   * Returns these versions together with the newest ones as read from the store.
    *
    * @param newest newest version of each model
-   * @param notBeforeMillis monotonic time before which a version unknown so far can't have been
-   *     named
+   * @param notBeforeMillis monotonic time in milliseconds before which a version unknown so far
+   *     can't have been set
    */
   public NamedWeights with(Map<String, Long> newest, long notBeforeMillis) {
     return with(newest, notBeforeMillis, false);
   }
 
   /**
-   * Returns these with the newest versions as read by a node that can't tell since when there is no
-   * older one.
+   * Returns these versions together with the newest ones as read from the store by a node that
+   * can't tell since when the version has been the newest.
    *
    * @param newest newest version of each model
-   * @param countsFromMillis monotonic time from which a version unknown so far is counted
+   * @param countsFromMillis monotonic time in milliseconds from which the age of a version unknown
+   *     so far is measured
    */
   public NamedWeights withEstimate(Map<String, Long> newest, long countsFromMillis) {
     return with(newest, countsFromMillis, true);
@@ -56,52 +57,56 @@
     return merged;
   }
 
-  private NamedWeights plus(String model, NamedVersion named) {
+  private NamedWeights plus(String model, NamedVersion target) {
     List<NamedVersion> versions = new ArrayList<>(versionsOf(model));
-    versions.add(named);
+    versions.add(target);
     return replacing(model, versions);
   }
 
   private NamedWeights replacing(String model, List<NamedVersion> versions) {
-    int surplus = Math.max(0, versions.size() - MAX_VERSIONS);
+    int excess = Math.max(0, versions.size() - MAX_VERSIONS);
     Map<String, List<NamedVersion>> merged = new HashMap<>(byModel);
-    merged.put(model, List.copyOf(versions.subList(surplus, versions.size())));
+    merged.put(model, List.copyOf(versions.subList(excess, versions.size())));
     return new NamedWeights(Map.copyOf(merged));
   }
 
   /**
-   * Returns these with versions of a model as other nodes witnessed them. What this node witnessed
-   * itself stands. An estimate stands for the versions before it as well, which this node may never
-   * have seen, so it goes over to the newest version that the witnesses say nothing about.
+   * Returns these versions together with versions of a model as observed by other nodes.
+   * Observations of this node take precedence. An estimate also stands for earlier versions, which
+   * this node may never have seen, so it is moved to the newest version that the other nodes have
+   * not observed.
+   *
+   * @param model name of the model
+   * @param observed versions observed by other nodes
    */
-  public NamedWeights withWitnessed(String model, List<NamedVersion> witnessed) {
+  public NamedWeights withWitnessed(String model, List<NamedVersion> observed) {
     TreeMap<Long, NamedVersion> versions = new TreeMap<>();
-    witnessed.forEach(named -> versions.put(named.version(), named));
-    for (NamedVersion own : versionsOf(model)) {
-      if (own.estimated()) {
-        long unknown = own.version();
-        while (versions.containsKey(unknown) && !versions.get(unknown).estimated()) {
-          unknown--;
+    observed.forEach(target -> versions.put(target.version(), target));
+    for (NamedVersion known : versionsOf(model)) {
+      if (known.estimated()) {
+        long unobserved = known.version();
+        while (versions.containsKey(unobserved) && !versions.get(unobserved).estimated()) {
+          unobserved--;
         }
-        versions.put(unknown, new NamedVersion(unknown, own.notBeforeMillis(), true));
+        versions.put(unobserved, new NamedVersion(unobserved, known.notBeforeMillis(), true));
       } else {
-        versions.put(own.version(), own);
+        versions.put(known.version(), known);
       }
     }
     return replacing(model, List.copyOf(versions.values()));
   }
 
-  /** Returns the models of which a version was named. */
+  /** Returns the models that have a target version. */
   public Set<String> models() {
     return byModel.keySet();
   }
 
-  /** Returns all versions of a model, newest last. */
+  /** Returns all versions of a model, oldest first; empty where there are none. */
   public List<NamedVersion> versionsOf(String model) {
     return byModel.getOrDefault(model, List.of());
   }
 
-  /** Returns the newest version of a model. */
+  /** Returns the newest version of a model, or empty where there is none. */
   public OptionalLong newest(String model) {
     List<NamedVersion> versions = versionsOf(model);
     return versions.isEmpty()
@@ -109,10 +114,17 @@
         : OptionalLong.of(versions.get(versions.size() - 1).version());
   }
 
-  /** Returns the newest version of a model that may have been named for an age or longer. */
-  public OptionalLong newestOfAge(String model, long ageMillis, long nowMillis) {
+  /**
+   * Returns the newest version of a model that may have been set at least a given time ago, or
+   * empty where there is none.
+   *
+   * @param model name of the model
+   * @param ageMillis least age in milliseconds
+   * @param nowMillis monotonic time in milliseconds
+   */
+  public OptionalLong newestOfMinAge(String model, long ageMillis, long nowMillis) {
     return versionsOf(model).stream()
-        .filter(named -> nowMillis - named.notBeforeMillis() >= ageMillis)
+        .filter(target -> nowMillis - target.notBeforeMillis() >= ageMillis)
         .mapToLong(NamedVersion::version)
         .max();
   }
--- a/gateway/src/main/java/org/lockdale/gateway/weights/OrderOutcome.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/OrderOutcome.java
@@ -1,17 +1,19 @@
 package org.lockdale.gateway.weights;
 
-/** What became of an order. */
+/** Outcome of an order as known to the node that gave it. */
 public enum OrderOutcome {
-  /** It is being carried out. */
+  /** The engine is carrying out the order. */
   ACCEPTED,
-  /** The engine holds the version already. */
+  /** The engine already holds the version. */
   ALREADY_HELD,
-  /** Another order is under way, or the engine has taken orders that the giver does not know. */
+  /**
+   * Another order is being carried out, or the engine has received orders unknown to the sender.
+   */
   CONFLICT,
   /** The engine has seen a newer fencing token. */
   FENCED,
-  /** The engine does not know the version, or has been replaced. */
+  /** The engine does not know the version, or has been replaced by another incarnation. */
   REJECTED,
-  /** No answer came; the order may be carried out now, later or never. */
+  /** No response was received; the order may be carried out now, later or never. */
   UNKNOWN
 }
--- a/gateway/src/main/java/org/lockdale/gateway/weights/ReplacedEngineException.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/ReplacedEngineException.java
@@ -1,16 +1,19 @@
 package org.lockdale.gateway.weights;
 
-/** Another server answers at the address of an engine; read the engine's record anew. */
+/**
+ * Thrown where another server responds at the address of an engine, so that the record of the
+ * engine has to be read again.
+ */
 public final class ReplacedEngineException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
   /**
-   * Creates a failure.
+   * Creates an exception without a stack trace.
    *
-   * @param engine id of the engine that was asked
+   * @param engine id of the engine that was queried
    */
   public ReplacedEngineException(String engine) {
-    super(engine + " is no longer at its address", null, false, false);
+    super(engine + " has been replaced by another server at its address", null, false, false);
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/weights/RolloutController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/RolloutController.java
@@ -24,15 +24,18 @@
 import org.tinylog.Logger;
 
 /**
- * Moves engines to the newest weights. Every node runs one; the one that takes the lease gives the
- * orders, a few engines at a time and always straight to the newest version. Runs on one event
- * loop.
+ * Moves engines to the newest target version. Every node runs a controller; the one that holds the
+ * lease gives the orders, to a few engines at a time and always straight to the newest version.
+ * Runs on one event loop.
  */
 public final class RolloutController {
 
   private static final long TICK_MILLIS = 100;
 
-  /** How often a node that may not lead looks whether it may; idle nodes wake seldom. */
+  /**
+   * Interval, in milliseconds, at which a node that must not lead checks whether it may. It is
+   * longer than {@link #TICK_MILLIS} so that idle nodes rarely wake up.
+   */
   private static final long IDLE_TICK_MILLIS = 500;
 
   private static final long LEASE_DURATION_MILLIS = 1_500;
@@ -40,14 +43,18 @@
   private static final long CONTENTION_MILLIS = 300;
 
   /**
-   * The lease is taken while the versions settle. To take it when the first order was due made that
-   * up to half a second late: the stagger of the nodes, a reading and a write.
+   * Time before the first order at which the lease is requested, in milliseconds, so that it is
+   * acquired while the versions settle. Requested only when the first order is due, it would delay
+   * that order by up to half a second: the stagger of the nodes, a read and a write.
    */
   private static final long LEASE_AHEAD_MILLIS = 500;
 
   private static final long ENGINE_RETRY_MILLIS = 400;
 
-  /** Nodes spread their first attempts over this many ticks, so that they do not all collide. */
+  /**
+   * Number of ticks over which the nodes spread their first attempts, so that they don't all
+   * collide.
+   */
   private static final int STAGGER_TICKS = 5;
 
   private final EventLoop eventLoop;
@@ -63,24 +70,25 @@
   private final Set<String> updating = new HashSet<>();
   private final Set<String> updatingSuspected = new HashSet<>();
   private final Map<String, Long> retryAtMillis = new HashMap<>();
-  private boolean leaseCallOpen;
+  private boolean leaseCallPending;
   private long nextLeaseCallMillis;
-  private boolean pending;
+  private boolean rolloutDue;
   private volatile boolean closed;
 
   /**
    * Creates a controller; {@link #start} starts it.
    *
-   * @param eventLoop runs the controller
-   * @param weights versions that operators have named
-   * @param backends back ends on record
-   * @param policy when engines have to move
-   * @param tools calls engines and tells other nodes
-   * @param store holds the lease's row
+   * @param eventLoop event loop that runs the controller
+   * @param weights target versions
+   * @param backends the backends with a record in the shared store
+   * @param policy decides when engines have to move
+   * @param tools access to the engines and to the other nodes
+   * @param store store of the lease
    * @param nodeId id of this node
-   * @param guardMillis least time between the orders of two holders of the lease
+   * @param guardMillis least time between the orders of two consecutive holders of the lease, in
+   *     milliseconds
    * @param time clock
-   * @param mayLead whether this node may take the lease at present
+   * @param mayLead returns whether this node may take the lease at present
    */
   public RolloutController(
       EventLoop eventLoop,
@@ -110,7 +118,7 @@
     eventLoop.execute(this::run);
   }
 
-  /** Gives no further orders. */
+  /** Stops the controller from giving further orders. */
   public void close() {
     closed = true;
   }
@@ -123,50 +131,54 @@
 
   private void tick() {
     if (closed || !mayLead.getAsBoolean()) {
-      pending = false;
+      rolloutDue = false;
       return;
     }
     long now = time.monotonicMillis();
     List<WeightsPolicy.Move> moves = WeightsPolicy.moves(weights.value(), backends.value());
     RolloutSlots slots = RolloutSlots.of(backends.value());
-    long beginAt = moves.isEmpty() ? Long.MAX_VALUE : beginAt(moves, slots);
-    if (now < beginAt - LEASE_AHEAD_MILLIS) {
-      pending = false;
+    long startAt = moves.isEmpty() ? Long.MAX_VALUE : startAt(moves, slots);
+    if (now < startAt - LEASE_AHEAD_MILLIS) {
+      rolloutDue = false;
       return;
     }
-    if (!pending) {
-      pending = true;
+    if (!rolloutDue) {
+      rolloutDue = true;
       nextLeaseCallMillis = now + Math.floorMod(nodeId.hashCode(), STAGGER_TICKS) * TICK_MILLIS;
     }
     keepLease(now);
-    if (now >= beginAt && lease.mayAct(now)) {
+    if (now >= startAt && lease.mayAct(now)) {
       startUpdates(moves, slots, now);
     }
   }
 
-  /** The engines that can be moved now decide; those that can't be reached are moved when back. */
-  private long beginAt(List<WeightsPolicy.Move> moves, RolloutSlots slots) {
-    List<WeightsPolicy.Move> sound = new ArrayList<>();
+  /**
+   * Returns the time at which the moves start. It depends on the healthy engines alone where there
+   * are any; engines that can't be reached are moved once they respond again.
+   */
+  private long startAt(List<WeightsPolicy.Move> moves, RolloutSlots slots) {
+    List<WeightsPolicy.Move> healthy = new ArrayList<>();
     for (WeightsPolicy.Move move : moves) {
       if (!move.engine().health().isSuspected()) {
-        sound.add(move);
+        healthy.add(move);
       }
     }
-    return policy.beginAt(weights.value(), sound.isEmpty() ? moves : sound, slots.sound());
+    return policy.plannedStart(
+        weights.value(), healthy.isEmpty() ? moves : healthy, slots.healthy());
   }
 
   private void startUpdates(List<WeightsPolicy.Move> moves, RolloutSlots slots, long now) {
     for (WeightsPolicy.Move move : moves) {
       String engine = move.engine().backend().id();
       boolean suspected = move.engine().health().isSuspected();
-      Set<String> begun = suspected ? updatingSuspected : updating;
+      Set<String> inProgress = suspected ? updatingSuspected : updating;
       boolean due = retryAtMillis.getOrDefault(engine, Long.MIN_VALUE) <= now;
       boolean idle = !updating.contains(engine) && !updatingSuspected.contains(engine);
-      if (due && idle && begun.size() < slots.limit(suspected)) {
-        begun.add(engine);
+      if (due && idle && inProgress.size() < slots.limit(suspected)) {
+        inProgress.add(engine);
         new EngineUpdate(eventLoop, tools, move, lease, nodeId, time::monotonicMillis)
             .start()
-            .whenCompleteAsync((held, impossible) -> updated(engine, held), eventLoop);
+            .whenCompleteAsync((held, unusedFailure) -> updated(engine, held), eventLoop);
       }
     }
   }
@@ -182,10 +194,10 @@
   }
 
   private void keepLease(long now) {
-    if (leaseCallOpen || now < nextLeaseCallMillis) {
+    if (leaseCallPending || now < nextLeaseCallMillis) {
       return;
     }
-    leaseCallOpen = true;
+    leaseCallPending = true;
     store
         .read()
         .thenComposeAsync(
@@ -194,7 +206,7 @@
               return claimAfter(reading);
             },
             eventLoop)
-        .whenCompleteAsync((written, failure) -> concluded(failure), eventLoop);
+        .whenCompleteAsync((written, failure) -> leaseCallCompleted(failure), eventLoop);
   }
 
   private CompletableFuture<@Nullable Void> claimAfter(LeaseReading reading) {
@@ -219,8 +231,8 @@
             eventLoop);
   }
 
-  private void concluded(@Nullable Throwable failure) {
-    leaseCallOpen = false;
+  private void leaseCallCompleted(@Nullable Throwable failure) {
+    leaseCallPending = false;
     if (failure == null) {
       return;
     }
--- a/gateway/src/main/java/org/lockdale/gateway/weights/RolloutProgress.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/RolloutProgress.java
@@ -4,48 +4,61 @@
 import java.util.Map;
 import org.lockdale.gateway.backend.TrackedBackend;
 
-/** Engines that are moving to other weights, as the coordinator of the rollout told. Immutable. */
+/** Engines that are moving to other weights, as announced by the rollout coordinator. Immutable. */
 public final class RolloutProgress {
 
-  /** Nothing moves. */
+  /** No engine moves. */
   public static final RolloutProgress NONE = new RolloutProgress(Map.of());
 
-  /** A move that was told this long ago is no longer believed; its coordinator may be gone. */
-  static final long BELIEF_MILLIS = 4_000;
+  /**
+   * Time in milliseconds after which an announced move expires, since its coordinator may have
+   * terminated.
+   */
+  static final long ANNOUNCEMENT_TTL_MILLIS = 4_000;
 
-  /** What was told this long ago has reached the back ends' own records. */
-  private static final long FORGET_MILLIS = 60_000;
+  /**
+   * Time in milliseconds for which announcements are kept. By then the records of the backends show
+   * the weights.
+   */
+  private static final long RETENTION_MILLIS = 60_000;
 
-  private record Told(EngineMove move, long atMillis) {}
+  private record Announcement(EngineMove move, long receivedAtMillis) {}
 
-  private final Map<String, Told> byEngine;
+  private final Map<String, Announcement> byEngine;
 
-  private RolloutProgress(Map<String, Told> byEngine) {
+  private RolloutProgress(Map<String, Announcement> byEngine) {
     this.byEngine = byEngine;
   }
 
-  /** Returns this progress with what was told now; what was told long ago is dropped. */
+  /**
+   * Returns this progress with a new announcement and without those past their retention time.
+   *
+   * @param move the announcement
+   * @param nowMillis monotonic time in milliseconds
+   */
   public RolloutProgress with(EngineMove move, long nowMillis) {
-    Map<String, Told> updated = new HashMap<>(byEngine);
-    updated.values().removeIf(told -> nowMillis - told.atMillis() > FORGET_MILLIS);
-    updated.put(move.engine(), new Told(move, nowMillis));
+    Map<String, Announcement> updated = new HashMap<>(byEngine);
+    updated
+        .values()
+        .removeIf(announcement -> nowMillis - announcement.receivedAtMillis() > RETENTION_MILLIS);
+    updated.put(move.engine(), new Announcement(move, nowMillis));
     return new RolloutProgress(Map.copyOf(updated));
   }
 
-  /** Returns whether an engine is on its way to other weights of a model. */
+  /** Returns whether an engine is moving to other weights of a model. */
   public boolean isMoving(TrackedBackend engine, String model, long nowMillis) {
-    Told told = byEngine.get(engine.backend().id());
-    return told != null
-        && told.move().moving()
-        && told.move().model().equals(model)
-        && nowMillis - told.atMillis() < BELIEF_MILLIS;
+    Announcement announcement = byEngine.get(engine.backend().id());
+    return announcement != null
+        && announcement.move().moving()
+        && announcement.move().model().equals(model)
+        && nowMillis - announcement.receivedAtMillis() < ANNOUNCEMENT_TTL_MILLIS;
   }
 
-  /** Passes on the weights that engines were told to hold. */
+  /** Applies the weights that an engine was announced to hold to the state known about it. */
   public void observe(TrackedBackend engine) {
-    Told told = byEngine.get(engine.backend().id());
-    if (told != null && !told.move().moving()) {
-      engine.observeWeights(told.move().model(), told.move().version());
+    Announcement announcement = byEngine.get(engine.backend().id());
+    if (announcement != null && !announcement.move().moving()) {
+      engine.observeWeights(announcement.move().model(), announcement.move().version());
     }
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/weights/RolloutSlots.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/RolloutSlots.java
@@ -4,21 +4,22 @@
 import org.lockdale.gateway.backend.TrackedBackend;
 
 /**
- * How many engines may move to other weights at once. Engines that fail count as moving, so that a
- * rollout never takes more engines from service than it would from a sound pool; they have a slot
- * of their own, so that waiting for their answer holds up no sound one.
+ * Number of engines that may move to other weights at once. Failing engines count as moving, so
+ * that a rollout never takes more engines out of service than it would with a healthy pool. They
+ * have a slot of their own, so that waiting for their response delays no healthy engine.
  *
- * @param sound moves of engines that answer
- * @param suspected moves of engines whose last attempts failed
+ * @param healthy concurrent moves of engines that respond
+ * @param suspected concurrent moves of engines whose last attempts failed
  */
-record RolloutSlots(int sound, int suspected) {
+record RolloutSlots(int healthy, int suspected) {
 
-  private static final int LEAST = 2;
+  /** Engines that may be out of service at once whatever the size of the pool. */
+  private static final int MIN_OUT_OF_SERVICE = 2;
 
   /** One engine in this many may be out of service at once. */
-  private static final int DIVISOR = 3;
+  private static final int OUT_OF_SERVICE_DIVISOR = 3;
 
-  /** Returns the slots for the engines on record. */
+  /** Returns the slots for the engines of a table. */
   static RolloutSlots of(BackendTable backends) {
     int engines = 0;
     int failing = 0;
@@ -31,17 +32,23 @@
     return of(engines, failing);
   }
 
-  /** Returns the slots for a number of engines, some of which fail. */
+  /** Returns the slots for a number of engines, some of which are failing. */
   static RolloutSlots of(int engines, int failing) {
-    int outOfService = Math.max(LEAST, (engines + DIVISOR - 1) / DIVISOR);
-    // One engine at least goes on serving, where there is more than one.
-    int most = Math.max(1, engines - failing - 1);
-    int sound = Math.max(1, Math.min(most, outOfService - failing));
-    return new RolloutSlots(sound, 1);
+    int outOfService =
+        Math.max(
+            MIN_OUT_OF_SERVICE, (engines + OUT_OF_SERVICE_DIVISOR - 1) / OUT_OF_SERVICE_DIVISOR);
+    // At least one engine remains in service, where there is more than one.
+    int maxHealthy = Math.max(1, engines - failing - 1);
+    int healthy = Math.max(1, Math.min(maxHealthy, outOfService - failing));
+    return new RolloutSlots(healthy, 1);
   }
 
-  /** Returns the most moves at once of engines that are suspected, or of those that are not. */
+  /**
+   * Returns the maximum number of concurrent moves.
+   *
+   * @param isSuspected whether of engines whose last attempts failed, or of the others
+   */
   int limit(boolean isSuspected) {
-    return isSuspected ? suspected : sound;
+    return isSuspected ? suspected : healthy;
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/weights/RolloutTools.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/RolloutTools.java
@@ -5,13 +5,13 @@
 import org.lockdale.gateway.backend.TrackedBackend;
 
 /**
- * What a coordinator works with.
+ * Operations of a rollout coordinator on engines and other nodes.
  *
- * @param control calls engines
- * @param announcer tells who places requests which engines move
- * @param waitingTokens prompt tokens at an engine, of the requests of all nodes, whose answers have
- *     not begun
- * @param onReplaced told of an engine in whose place another life of it answers
+ * @param control queries engines and gives them orders
+ * @param announcer announces moves of engines to the nodes that place requests
+ * @param waitingTokens returns the prompt tokens at an engine, of the requests of all nodes, whose
+ *     responses have not begun
+ * @param onReplaced called with an engine at whose address another incarnation responds
  */
 public record RolloutTools(
     EngineControl control,
--- a/gateway/src/main/java/org/lockdale/gateway/weights/WeightsPolicy.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/WeightsPolicy.java
@@ -9,49 +9,65 @@
 import org.lockdale.gateway.backend.TrackedBackend;
 
 /**
- * Which weights a request may be served by, and which engines have to move. Without I/O.
+ * Decides which versions of weights may serve a request and which engines have to move. Performs no
+ * I/O.
  *
- * @param bound longest time after a version was named in which an older one may serve, in
- *     milliseconds
+ * @param boundMillis longest time after a version was set as the target for which older ones may
+ *     serve, in milliseconds
  */
-public record WeightsPolicy(long bound) {
+public record WeightsPolicy(long boundMillis) {
 
-  /** Requests are kept from old weights, and taken back, this long before the bound. */
+  /**
+   * Time before the bound, in milliseconds, from which requests are no longer sent to engines with
+   * older weights, and those still waiting there are withdrawn.
+   */
   private static final long QUEUE_MARGIN_MILLIS = 700;
 
   /**
-   * Answers that begin later than 1.5 s after newer weights were named are worth less. A request is
-   * placed some milliseconds before its answer begins, and waits at times.
+   * Age of a target version, in milliseconds, from which engines that hold it are preferred.
+   * Responses that begin on older weights more than 1.5 s after the version was set are worth less.
+   * The difference allows for the time between the placement of a request, which may have to wait,
+   * and the start of its response.
    */
   private static final long DUE_MILLIS = 1_300;
 
-  /** Time that one group of engines takes, from the order to the new weights. */
+  /**
+   * Time, in milliseconds, in which a group of engines that move at once gets from the order to the
+   * new weights.
+   */
   private static final long LOAD_MILLIS = 1_900;
 
-  /** A version that is followed by another within this time is not worth a load. */
+  /**
+   * Time in milliseconds for which a new target version has to stand before engines load it, since
+   * a version replaced sooner is not worth loading.
+   */
   private static final long SETTLE_MILLIS = 600;
 
-  /** Time to take the lease. */
-  private static final long LEASE_MILLIS = 400;
+  /** Time to acquire the lease, in milliseconds. */
+  private static final long LEASE_ACQUISITION_MILLIS = 400;
 
   /**
-   * An engine that does not hold the newest weights of a model.
+   * Move of an engine that does not hold the newest weights of a model.
    *
    * @param engine the engine
-   * @param model the model
+   * @param model name of the model
    * @param version version to load
    */
   public record Move(TrackedBackend engine, String model, long version) {}
 
-  /** Returns the oldest version that may serve a model now, or null for any. */
+  /** Returns the oldest version that may serve a model now, or null where any may. */
   public @Nullable Long requiredVersion(NamedWeights weights, String model, long nowMillis) {
-    OptionalLong required = weights.newestOfAge(model, bound - QUEUE_MARGIN_MILLIS, nowMillis);
+    OptionalLong required =
+        weights.newestOfMinAge(model, boundMillis - QUEUE_MARGIN_MILLIS, nowMillis);
     return required.isPresent() ? required.getAsLong() : null;
   }
 
-  /** Returns the newest version that answers are expected to be on by now, or null for none. */
+  /**
+   * Returns the newest version that responses should be based on by now, or null where there is
+   * none.
+   */
   public @Nullable Long dueVersion(NamedWeights weights, String model, long nowMillis) {
-    OptionalLong due = weights.newestOfAge(model, DUE_MILLIS, nowMillis);
+    OptionalLong due = weights.newestOfMinAge(model, DUE_MILLIS, nowMillis);
     return due.isPresent() ? due.getAsLong() : null;
   }
 
@@ -61,8 +77,8 @@
   }
 
   /**
-   * Returns the engines that do not hold the newest weights; those with the oldest come first, and
-   * among them the least loaded.
+   * Returns the moves of the engines that do not hold the newest weights. Engines with the oldest
+   * weights come first, and among them the least loaded.
    */
   public static List<Move> moves(NamedWeights weights, BackendTable backends) {
     List<Move> moves = new ArrayList<>();
@@ -70,8 +86,8 @@
       for (String model : engine.backend().weights().keySet()) {
         OptionalLong newest = weights.newest(model);
         Long held = engine.weightsOf(model);
-        boolean behind = newest.isPresent() && held != null && held < newest.getAsLong();
-        if (behind && engine.isServing()) {
+        boolean isOutdated = newest.isPresent() && held != null && held < newest.getAsLong();
+        if (isOutdated && engine.isServing()) {
           moves.add(new Move(engine, model, newest.getAsLong()));
         }
       }
@@ -83,34 +99,47 @@
   }
 
   /**
-   * Returns the monotonic time at which the moves begin: soon, since answers on older weights are
-   * worth less, but not between versions that follow each other, unless the bound requires it.
+   * Returns the monotonic time, in milliseconds, at which the moves start. They start early, since
+   * responses based on older weights are worth less, but not while target versions follow each
+   * other in quick succession, unless the bound requires it.
+   *
+   * @param weights target versions
+   * @param moves moves to make, at least one
+   * @param parallel number of moves made at once, at least 1
    */
-  public long beginAt(NamedWeights weights, List<Move> moves, int parallel) {
+  public long plannedStart(NamedWeights weights, List<Move> moves, int parallel) {
     long newest = Long.MIN_VALUE / 2;
     for (Move move : moves) {
-      for (NamedVersion named : weights.versionsOf(move.model())) {
-        newest = Math.max(newest, named.notBeforeMillis());
+      for (NamedVersion target : weights.versionsOf(move.model())) {
+        newest = Math.max(newest, target.notBeforeMillis());
       }
     }
-    return Math.min(newest + SETTLE_MILLIS, startBy(weights, moves, parallel));
+    return Math.min(newest + SETTLE_MILLIS, latestStart(weights, moves, parallel));
   }
 
   /**
-   * Returns the latest monotonic time at which the moves must begin for all engines to serve within
-   * the bound.
+   * Returns the latest monotonic time, in milliseconds, at which the moves must start for all
+   * engines to hold the required version within the bound.
+   *
+   * @param weights target versions
+   * @param moves moves to make, at least one
+   * @param parallel number of moves made at once, at least 1
    */
-  public long startBy(NamedWeights weights, List<Move> moves, int parallel) {
+  public long latestStart(NamedWeights weights, List<Move> moves, int parallel) {
     long earliest = Long.MAX_VALUE;
     for (Move move : moves) {
       Long held = move.engine().weightsOf(move.model());
-      for (NamedVersion named : weights.versionsOf(move.model())) {
-        if (held == null || named.version() > held) {
-          earliest = Math.min(earliest, named.notBeforeMillis());
+      for (NamedVersion target : weights.versionsOf(move.model())) {
+        if (held == null || target.version() > held) {
+          earliest = Math.min(earliest, target.notBeforeMillis());
         }
       }
     }
     long rounds = (moves.size() + parallel - 1) / parallel;
-    return earliest + bound - QUEUE_MARGIN_MILLIS - LEASE_MILLIS - rounds * LOAD_MILLIS;
+    return earliest
+        + boundMillis
+        - QUEUE_MARGIN_MILLIS
+        - LEASE_ACQUISITION_MILLIS
+        - rounds * LOAD_MILLIS;
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/weights/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/package-info.java
@@ -1,4 +1,4 @@
-/** Moving engines to new model weights, one coordinator at a time. */
+/** Rollout of new model weights to the engines by one coordinator at a time. */
 @NullMarked
 package org.lockdale.gateway.weights;
 
--- a/gateway/src/test/java/org/lockdale/gateway/weights/EngineUpdateTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/weights/EngineUpdateTest.java
@@ -21,22 +21,25 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Whoever places requests knows of an engine's move from before the order until it is done. */
+/**
+ * Checks that nodes that place requests know of an engine's move from before the order until it is
+ * completed.
+ */
 public final class EngineUpdateTest {
 
   private static final String MODEL = "model";
-  private static final long LONG_LEASE_MILLIS = 60_000;
+  private static final long LEASE_MILLIS = 60_000;
   private static final long STEP_MILLIS = 10;
 
   private TrackedBackend engine;
 
   private EmbeddedChannel channel;
-  private SlowEngine control;
+  private ControlledEngine control;
   private RolloutProgress progress;
   private long nowMillis;
 
-  /** An engine that carries out an order when it is told to. */
-  private static final class SlowEngine implements EngineControl {
+  /** An engine that completes an order when the test says so. */
+  private static final class ControlledEngine implements EngineControl {
     private boolean ordered;
     private boolean done;
     private long startedAtMillis = 1;
@@ -73,7 +76,7 @@
                 Map.of(MODEL, 1L)));
     channel = new EmbeddedChannel();
     channel.freezeTime();
-    control = new SlowEngine();
+    control = new ControlledEngine();
     progress = RolloutProgress.NONE;
     nowMillis = 0;
   }
@@ -84,8 +87,8 @@
   }
 
   private CompletableFuture<Boolean> start() {
-    Lease lease = new Lease("node", LONG_LEASE_MILLIS, 0);
-    lease.written(new LeaseReading(new LeaseRow("node", LONG_LEASE_MILLIS), 1, 0), 0);
+    Lease lease = new Lease("node", LEASE_MILLIS, 0);
+    lease.written(new LeaseReading(new LeaseRow("node", LEASE_MILLIS), 1, 0), 0);
     RolloutTools tools =
         new RolloutTools(
             control,
@@ -117,18 +120,19 @@
   }
 
   /**
-   * An engine that ends its runs first takes seconds for an order. When it was believed to be back
-   * before that, it looked idle, drew the requests of all nodes and turned each of them away.
+   * Guards against announcements that expire before the move is completed. An engine that first
+   * completes its running requests takes seconds for an order; if it was expected back sooner, it
+   * looked idle, attracted the requests of all nodes and rejected each of them.
    */
   @Test
-  public void anEngineIsBelievedToMoveForAsLongAsItsOrderTakes() {
+  public void anEngineCountsAsMovingUntilItsOrderIsCompleted() {
     CompletableFuture<Boolean> done = start();
     while (!control.ordered) {
       step();
     }
     while (nowMillis < 5_700) {
       step();
-      assertTrue(isMoving(), "no longer believed to move after " + nowMillis + " ms");
+      assertTrue(isMoving(), "the announcement of the move expired after " + nowMillis + " ms");
     }
     control.done = true;
     while (!done.isDone()) {
@@ -139,16 +143,16 @@
   }
 
   @Test
-  public void anEngineThatCarriesOutAnEarlierOrderIsTold() {
+  public void theMoveOfAnEngineThatCarriesOutAnEarlierOrderIsAnnounced() {
     control.ordered = true;
     start();
     step();
     assertTrue(isMoving());
   }
 
-  /** An engine turns away what it has not begun to answer when an order comes. */
+  /** When an order arrives, an engine rejects the requests whose response it has not begun. */
   @Test
-  public void anOrderWaitsUntilThePromptsAtTheEngineAreRead() {
+  public void anOrderWaitsUntilThePromptsAtTheEngineAreProcessed() {
     BackendLoad.Share share = engine.load().open(9_000, 9_000);
     start();
     assertTrue(isMoving());
@@ -165,7 +169,7 @@
   }
 
   @Test
-  public void aPromptThatIsNeverReadHoldsUpNoOrder() {
+  public void aPromptThatIsNeverProcessedDelaysNoOrderBeyondTheLimit() {
     BackendLoad.Share share = engine.load().open(90_000, 90_000);
     start();
     while (!control.ordered && nowMillis < 5_000) {
@@ -176,7 +180,7 @@
   }
 
   @Test
-  public void anOrderIsGivenAfterItsNotice() {
+  public void anOrderIsGivenAfterItsAnnouncement() {
     start();
     assertTrue(isMoving());
     assertFalse(control.ordered);
@@ -186,9 +190,9 @@
     assertEquals(nowMillis, 40);
   }
 
-  /** An order that counts from the former life's orders could fit the next one. */
+  /** An order with the count of the former incarnation could match the next one by chance. */
   @Test
-  public void noOrderIsGivenToAnotherLifeOfTheEngine() {
+  public void noOrderIsGivenToAnotherIncarnationOfTheEngine() {
     control.startedAtMillis = 2;
     CompletableFuture<Boolean> done = start();
     step();
--- a/gateway/src/test/java/org/lockdale/gateway/weights/RolloutSlotsTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/weights/RolloutSlotsTest.java
@@ -11,31 +11,31 @@
 import org.lockdale.gateway.backend.BackendTable;
 import org.testng.annotations.Test;
 
-/** A rollout leaves two thirds of the engines in service where that can be. */
+/** Checks that a rollout leaves two thirds of the engines in service where possible. */
 public final class RolloutSlotsTest {
 
   @Test
-  public void aThirdOfSoundEnginesMovesAtOnce() {
-    assertEquals(RolloutSlots.of(6, 0).sound(), 2);
-    assertEquals(RolloutSlots.of(8, 0).sound(), 3);
-    assertEquals(RolloutSlots.of(13, 0).sound(), 5);
-    assertEquals(RolloutSlots.of(63, 0).sound(), 21);
+  public void aThirdOfHealthyEnginesMovesAtOnce() {
+    assertEquals(RolloutSlots.of(6, 0).healthy(), 2);
+    assertEquals(RolloutSlots.of(8, 0).healthy(), 3);
+    assertEquals(RolloutSlots.of(13, 0).healthy(), 5);
+    assertEquals(RolloutSlots.of(63, 0).healthy(), 21);
   }
 
   @Test
-  public void enginesThatFailTakeUpSlots() {
-    assertEquals(RolloutSlots.of(6, 1).sound(), 1);
-    assertEquals(RolloutSlots.of(6, 2).sound(), 1);
-    assertEquals(RolloutSlots.of(63, 16).sound(), 5);
+  public void failingEnginesOccupySlots() {
+    assertEquals(RolloutSlots.of(6, 1).healthy(), 1);
+    assertEquals(RolloutSlots.of(6, 2).healthy(), 1);
+    assertEquals(RolloutSlots.of(63, 16).healthy(), 5);
   }
 
   @Test
   public void aRolloutNeverStopsAndNeverTakesTheLastEngine() {
     for (int engines = 1; engines < 70; engines++) {
       for (int failing = 0; failing <= engines; failing++) {
-        int sound = RolloutSlots.of(engines, failing).sound();
-        assertTrue(sound >= 1);
-        assertTrue(sound == 1 || sound < engines - failing);
+        int healthy = RolloutSlots.of(engines, failing).healthy();
+        assertTrue(healthy >= 1);
+        assertTrue(healthy == 1 || healthy < engines - failing);
       }
     }
   }
@@ -44,7 +44,10 @@
   public void anEngineWhoseLastAttemptsFailedIsSuspectedUntilItAnswers() {
     BackendTable table = BackendTable.EMPTY.with(List.of(engine("a"), engine("b"), engine("c")));
     table.all().iterator().next().health().failed(0);
-    assertEquals(RolloutSlots.of(table), new RolloutSlots(2, 1), "one may be the request's own");
+    assertEquals(
+        RolloutSlots.of(table),
+        new RolloutSlots(2, 1),
+        "a single failure may be due to the request itself");
     table.all().iterator().next().health().failed(0);
     assertEquals(RolloutSlots.of(table), new RolloutSlots(1, 1));
     table.all().iterator().next().health().succeeded();
--- a/gateway/src/test/java/org/lockdale/gateway/weights/WeightsPolicyTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/weights/WeightsPolicyTest.java
@@ -13,7 +13,7 @@
 import org.lockdale.gateway.backend.BackendTable;
 import org.testng.annotations.Test;
 
-/** Which weights may serve, which engines move, and by when. */
+/** Checks which weights may serve, which engines move, and when. */
 public final class WeightsPolicyTest {
 
   private static final long BOUND = 8_000;
@@ -44,7 +44,7 @@
   }
 
   @Test
-  public void eachVersionIsJudgedFromItsOwnTime() {
+  public void theAgeOfEachVersionIsMeasuredFromItsOwnTime() {
     WeightsPolicy policy = new WeightsPolicy(BOUND);
     NamedWeights weights =
         NamedWeights.NONE.with(Map.of(MODEL, 2L), 0).with(Map.of(MODEL, 3L), 5_000);
@@ -70,24 +70,24 @@
   }
 
   @Test
-  public void whatAnAnswerToldCountsAsMuchAsTheRecord() {
+  public void aVersionReportedInAResponseCountsAsMuchAsTheRecord() {
     NamedWeights weights = NamedWeights.NONE.with(Map.of(MODEL, 2L), 0);
     BackendTable table = table(engine("i", 1, false));
     table.all().iterator().next().observeWeights(MODEL, 2);
     assertTrue(WeightsPolicy.moves(weights, table).isEmpty());
     BackendTable later = table.with(List.of(engine("i", 1, false)));
-    assertTrue(WeightsPolicy.moves(weights, later).isEmpty(), "a record may lag behind");
+    assertTrue(WeightsPolicy.moves(weights, later).isEmpty(), "the record may be outdated");
   }
 
   @Test
-  public void aRolloutBeginsOnceNoNewerVersionFollows() {
+  public void aRolloutStartsOnceNoNewerVersionFollows() {
     WeightsPolicy policy = new WeightsPolicy(BOUND);
     BackendTable engines = table(engine("a", 1, false));
     NamedWeights weights = NamedWeights.NONE.with(Map.of(MODEL, 2L), 1_000);
-    long first = policy.beginAt(weights, WeightsPolicy.moves(weights, engines), 1);
-    assertTrue(first > 1_000 && first < 2_000, "soon after it was named");
+    long first = policy.plannedStart(weights, WeightsPolicy.moves(weights, engines), 1);
+    assertTrue(first > 1_000 && first < 2_000, "soon after it was set");
     NamedWeights newer = weights.with(Map.of(MODEL, 3L), 1_500);
-    long second = policy.beginAt(newer, WeightsPolicy.moves(newer, engines), 1);
+    long second = policy.plannedStart(newer, WeightsPolicy.moves(newer, engines), 1);
     assertEquals(second, first + 500);
   }
 
@@ -100,7 +100,7 @@
       weights = weights.with(Map.of(MODEL, (long) version), version * 500L);
     }
     List<WeightsPolicy.Move> moves = WeightsPolicy.moves(weights, engines);
-    assertEquals(policy.beginAt(weights, moves, 1), policy.startBy(weights, moves, 1));
+    assertEquals(policy.plannedStart(weights, moves, 1), policy.latestStart(weights, moves, 1));
   }
 
   @Test
@@ -111,7 +111,7 @@
     List<WeightsPolicy.Move> three =
         WeightsPolicy.moves(
             weights, table(engine("a", 1, false), engine("b", 1, false), engine("c", 1, false)));
-    assertTrue(policy.startBy(weights, three, 1) < policy.startBy(weights, one, 1));
-    assertEquals(policy.startBy(weights, three, 3), policy.startBy(weights, one, 1));
+    assertTrue(policy.latestStart(weights, three, 1) < policy.latestStart(weights, one, 1));
+    assertEquals(policy.latestStart(weights, three, 3), policy.latestStart(weights, one, 1));
   }
 }
