--- a/gateway/src/main/java/org/lockdale/gateway/drain/BackendStatements.java
+++ b/gateway/src/main/java/org/lockdale/gateway/drain/BackendStatements.java
@@ -10,30 +10,37 @@
 import org.tinylog.Logger;
 
 /**
- * Takes in what back ends say in their answers of leaving and of rests that they want. Safe for use
- * by several threads.
+ * Processes what backends announce in their responses: that they are draining, and backoffs that
+ * they request. Safe for use by several threads.
  */
 public final class BackendStatements {
 
-  /** What can't be read is logged this seldom, since each answer may bring it, in milliseconds. */
+  /**
+   * Least time between two log lines about unreadable values, in milliseconds, since every response
+   * may contain one.
+   */
   private static final long UNREADABLE_LOG_MILLIS = 1_000;
 
-  /** A rest is longer by one in this many parts at the most, and by no more than the next. */
-  private static final long SPREAD_PARTS = 10;
+  /**
+   * A backoff is extended by a random time of at most this fraction of its length, and at most
+   * {@link #MAX_SPREAD_MILLIS}.
+   */
+  private static final long SPREAD_DIVISOR = 10;
 
+  /** Upper bound of the random extension of a backoff, in milliseconds. */
   private static final long MAX_SPREAD_MILLIS = 300;
 
   private final Leavings leavings;
   private final Time time;
-  private final AtomicLong leavingsHeard = new AtomicLong();
-  private final AtomicLong withdrawn = new AtomicLong();
-  private final AtomicLong rests = new AtomicLong();
+  private final AtomicLong drainAnnouncementCount = new AtomicLong();
+  private final AtomicLong withdrawalCount = new AtomicLong();
+  private final AtomicLong backoffCount = new AtomicLong();
   private final AtomicLong nextUnreadableLogMillis = new AtomicLong(Long.MIN_VALUE);
 
   /**
-   * Creates it.
+   * Creates an instance without counts.
    *
-   * @param leavings remembers lives that leave
+   * @param leavings the incarnations known to be draining
    * @param time clock
    */
   public BackendStatements(Leavings leavings, Time time) {
@@ -41,40 +48,49 @@
     this.time = time;
   }
 
-  /** Takes in an answer of a back end to this node; from any thread. */
+  /** Processes a response of a backend to this node. May be called on any thread. */
   public void heard(TrackedBackend backend, AnswerHead answer) {
     if (answer.leaving() && leavings.heard(backend)) {
-      leavingsHeard.incrementAndGet();
+      drainAnnouncementCount.incrementAndGet();
     }
-    if (answer.rest() instanceof RestStatement.Wanted wanted) {
-      rest(backend, wanted.millis());
+    if (answer.rest() instanceof RestStatement.Wanted requested) {
+      backOff(backend, requested.millis());
     } else if (answer.rest() instanceof RestStatement.Unreadable unreadable) {
       logUnreadable(backend, unreadable.text());
     }
   }
 
-  /** Takes in the lives that another node has heard to leave, by their text forms. */
-  public void told(String sender, List<String> lives) {
-    leavings.told(sender, lives);
+  /**
+   * Processes a notification from another node of backends that announced to it that they are
+   * draining.
+   *
+   * @param sender id of the other node
+   * @param incarnations the incarnations, by their text forms
+   */
+  public void told(String sender, List<String> incarnations) {
+    leavings.told(sender, incarnations);
   }
 
-  /** Notes that a request was not sent, as its back end had spoken since it was chosen. */
+  /**
+   * Counts a request that was not sent, since its backend had announced draining, requested a
+   * backoff or was found to have ended after it was chosen.
+   */
   public void withdrawn() {
-    withdrawn.incrementAndGet();
+    withdrawalCount.incrementAndGet();
   }
 
-  private void rest(TrackedBackend backend, long millis) {
+  private void backOff(TrackedBackend backend, long millis) {
     long now = time.monotonicMillis();
-    boolean rested = backend.rest().isOn(now);
-    // Nodes that were all asked at the same moment don't come back as one.
-    long spread = ThreadLocalRandom.current().nextLong(millis / SPREAD_PARTS + 1);
+    boolean wasBackingOff = backend.rest().isOn(now);
+    // Nodes that were all asked at the same moment must not all resume at once.
+    long spread = ThreadLocalRandom.current().nextLong(millis / SPREAD_DIVISOR + 1);
     if (backend.rest().asked(millis + Math.min(spread, MAX_SPREAD_MILLIS), now)) {
-      rests.incrementAndGet();
+      backoffCount.incrementAndGet();
       Logger.info(
           "event=backend-rest backend={} millis={} again={}",
           backend.backend().id(),
           millis,
-          rested);
+          wasBackingOff);
     }
   }
 
@@ -86,18 +102,23 @@
     }
   }
 
-  /** Returns how many lives of back ends told this node in an answer that they leave. */
+  /**
+   * Returns the number of incarnations of backends that announced to this node that they are
+   * draining.
+   */
   public long leavings() {
-    return leavingsHeard.get();
+    return drainAnnouncementCount.get();
   }
 
-  /** Returns how many requests were not sent to the back end that was chosen for them. */
+  /** Returns the number of requests that were not sent to the backend chosen for them. */
   public long withdrawals() {
-    return withdrawn.get();
+    return withdrawalCount.get();
   }
 
-  /** Returns how many rests back ends wanted of this node. */
+  /**
+   * Returns the number of backoffs, and extensions of them, that backends requested from this node.
+   */
   public long rests() {
-    return rests.get();
+    return backoffCount.get();
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/drain/Leavings.java
+++ b/gateway/src/main/java/org/lockdale/gateway/drain/Leavings.java
@@ -12,80 +12,92 @@
 import org.tinylog.Logger;
 
 /**
- * Lives of back ends that have said in an answer, to this node or to another one, that they leave.
- * What a life has said holds for as long as it lives, also where its record is gone for a time and
- * comes back as it was before. Safe for use by several threads.
+ * Incarnations of backends that have announced, in a response to this node or to another one, that
+ * they are draining. The announcement holds for the rest of the incarnation, even if its record
+ * disappears for a time and returns in its former state. Safe for use by several threads.
  */
 public final class Leavings {
 
-  /** Lives that are remembered; a release replaces a few hundred servers at the most. */
-  private static final int MAX_LIVES = 1_024;
+  /**
+   * Maximum number of incarnations kept; the oldest are dropped first. A release replaces a few
+   * hundred servers at most.
+   */
+  private static final int MAX_INCARNATIONS = 1_024;
 
-  /** A record says it this much later than an answer where the store takes it at once. */
-  private static final long RECORD_MILLIS = 2_000;
+  /**
+   * Time in milliseconds after which the record shows what the response announced, provided that
+   * the store accepts writes without delay.
+   */
+  private static final long RECORD_DELAY_MILLIS = 2_000;
 
-  private static final class Life {
-    private final long heardAtMillis;
-    private boolean compared;
+  private static final class Announcement {
+    private final long receivedAtMillis;
+    private boolean comparedWithRecord;
 
-    Life(long heardAtMillis) {
-      this.heardAtMillis = heardAtMillis;
+    Announcement(long receivedAtMillis) {
+      this.receivedAtMillis = receivedAtMillis;
     }
   }
 
   private final Supplier<BackendTable> backends;
-  private final Consumer<List<String>> tellOthers;
+  private final Consumer<List<String>> notifyOthers;
   private final Time time;
-  private final Map<String, Life> lives = new LinkedHashMap<>();
+  private final Map<String, Announcement> announcements = new LinkedHashMap<>();
 
   /**
-   * Creates it.
+   * Creates an empty collection.
    *
-   * @param backends back ends on record
-   * @param tellOthers tells all other nodes of lives that leave, by their text forms
+   * @param backends supplies the backends with a record in the shared store
+   * @param notifyOthers notifies all other nodes of draining incarnations, given by their text
+   *     forms
    * @param time clock
    */
-  public Leavings(Supplier<BackendTable> backends, Consumer<List<String>> tellOthers, Time time) {
+  public Leavings(Supplier<BackendTable> backends, Consumer<List<String>> notifyOthers, Time time) {
     this.backends = backends;
-    this.tellOthers = tellOthers;
+    this.notifyOthers = notifyOthers;
     this.time = time;
   }
 
   /**
-   * Takes in that a back end has said to this node that it leaves, and tells the others.
+   * Records that a backend has announced to this node that it is draining, and notifies the other
+   * nodes unless another node already did.
    *
-   * @return whether this node did not know
+   * @return whether this node did not know it
    */
   boolean heard(TrackedBackend backend) {
-    String life = backend.backend().id();
-    boolean news = backend.leave();
-    if (news && remember(life)) {
+    String incarnation = backend.backend().id();
+    boolean isNew = backend.leave();
+    if (isNew && addIfAbsent(incarnation)) {
       log(backend, "answer");
-      tellOthers.accept(List.of(life));
+      notifyOthers.accept(List.of(incarnation));
     }
-    return news;
+    return isNew;
   }
 
-  /** Takes in what another node heard. */
-  void told(String sender, List<String> told) {
+  /**
+   * Records the incarnations, by their text forms, that announced to another node that they are
+   * draining.
+   */
+  void told(String sender, List<String> incarnations) {
     BackendTable table = backends.get();
-    for (String life : told) {
-      remember(life);
-      // A name without a start means whichever life is present, and this one may have come since.
-      TrackedBackend tracked = table.find(life);
+    for (String incarnation : incarnations) {
+      addIfAbsent(incarnation);
+      // A name without a start time denotes the incarnation that was present at the other node, and
+      // the one present here may be a later one.
+      TrackedBackend tracked = table.find(incarnation);
       if (tracked != null && tracked.leave()) {
         log(tracked, sender);
       }
     }
   }
 
-  private synchronized boolean remember(String life) {
-    if (lives.containsKey(life)) {
+  private synchronized boolean addIfAbsent(String incarnation) {
+    if (announcements.containsKey(incarnation)) {
       return false;
     }
-    lives.put(life, new Life(time.monotonicMillis()));
-    if (lives.size() > MAX_LIVES) {
-      Iterator<String> oldest = lives.keySet().iterator();
+    announcements.put(incarnation, new Announcement(time.monotonicMillis()));
+    if (announcements.size() > MAX_INCARNATIONS) {
+      Iterator<String> oldest = announcements.keySet().iterator();
       oldest.next();
       oldest.remove();
     }
@@ -100,27 +112,33 @@
         backend.backend().leaving());
   }
 
-  /** Marks the lives of a table that are known to leave. */
+  /** Marks the backends of a table whose incarnations are known to be draining. */
   public synchronized void recall(BackendTable table) {
-    for (String life : lives.keySet()) {
-      TrackedBackend tracked = table.find(life);
+    for (String incarnation : announcements.keySet()) {
+      TrackedBackend tracked = table.find(incarnation);
       if (tracked != null) {
         tracked.leave();
       }
     }
   }
 
-  /** Tells once of each life whose record does not say what its answers do. */
+  /**
+   * Logs once for each incarnation that its record still does not show that it is draining, after
+   * the time in which it should.
+   */
   public synchronized void tick(BackendTable table) {
     long now = time.monotonicMillis();
-    lives.forEach(
-        (id, life) -> {
-          if (!life.compared && now - life.heardAtMillis >= RECORD_MILLIS) {
-            life.compared = true;
+    announcements.forEach(
+        (id, announcement) -> {
+          if (!announcement.comparedWithRecord
+              && now - announcement.receivedAtMillis >= RECORD_DELAY_MILLIS) {
+            announcement.comparedWithRecord = true;
             TrackedBackend tracked = table.find(id);
             if (tracked != null && !tracked.backend().leaving()) {
               Logger.info(
-                  "event=leaving-not-on-record backend={} millis={}", id, now - life.heardAtMillis);
+                  "event=leaving-not-on-record backend={} millis={}",
+                  id,
+                  now - announcement.receivedAtMillis);
             }
           }
         });
--- a/gateway/src/main/java/org/lockdale/gateway/drain/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/drain/package-info.java
@@ -1,4 +1,4 @@
-/** Back ends that say in their answers that they leave, or that they want a rest. */
+/** Backends that announce in their responses that they are draining, or request a backoff. */
 @NullMarked
 package org.lockdale.gateway.drain;
 
