--- a/gateway/src/main/java/org/lockdale/gateway/backend/Backend.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/Backend.java
@@ -31,9 +31,9 @@
       InetSocketAddress address,
       String zone,
       int slots,
-      boolean leaving,
+      boolean draining,
       Map<String, Long> weights) {
-    this(Incarnation.parse(id), pool, address, zone, slots, leaving, weights);
+    this(Incarnation.parse(id), pool, address, zone, slots, draining, weights);
   }
 
   /** Returns the text form of the incarnation, the key under which its state is kept. */
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendHealth.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendHealth.java
@@ -92,7 +92,7 @@
     }
   }
 
-  /** Records a response. */
+  /** Records a valid response. It ends an ejection, but not a pause after rejections. */
   public void succeeded() {
     failuresInRow.set(0);
     ejectedUntilMillis.set(Long.MIN_VALUE);
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendProtocol.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendProtocol.java
@@ -17,7 +17,7 @@
   boolean isControlPath(String path);
 
   /** Returns whether a response belongs to a request. */
-  boolean belongsTo(CallerRequest request, HttpHeaders answer);
+  boolean belongsTo(CallerRequest request, HttpHeaders response);
 
   /** Parses the head of a response. */
   AnswerHead read(int status, HttpHeaders headers);
--- a/gateway/src/main/java/org/lockdale/gateway/backend/TrackedBackend.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/TrackedBackend.java
@@ -35,7 +35,7 @@
     final BackendRest backoff;
     final Map<String, ObservedWeights> weights = new ConcurrentHashMap<>();
     final AtomicLong aliveAtMillis = new AtomicLong(Long.MIN_VALUE / 2);
-    final AtomicBoolean leaving = new AtomicBoolean();
+    final AtomicBoolean draining = new AtomicBoolean();
     final Set<Runnable> endListeners = ConcurrentHashMap.newKeySet();
 
     LearnedState(BackendRest backoff) {
@@ -117,17 +117,17 @@
    * @return whether it had not announced it before
    */
   public boolean leave() {
-    return learned.leaving.compareAndSet(false, true);
+    return learned.draining.compareAndSet(false, true);
   }
 
   /** Returns whether this incarnation has announced in a response that it is draining. */
   public boolean hasSaidItLeaves() {
-    return learned.leaving.get();
+    return learned.draining.get();
   }
 
   /** Returns whether this incarnation is draining, according to its record or its responses. */
   public boolean isLeaving() {
-    return backend.leaving() || learned.leaving.get();
+    return backend.leaving() || learned.draining.get();
   }
 
   /**
@@ -152,8 +152,8 @@
    * Returns whether a set of names contains this backend. Nodes of an earlier version send ids of
    * servers, which denote any incarnation.
    */
-  public boolean isAmong(Set<String> named) {
-    return named.contains(backend.id()) || named.contains(backend.incarnation().server());
+  public boolean isAmong(Set<String> names) {
+    return names.contains(backend.id()) || names.contains(backend.incarnation().server());
   }
 
   /** Returns the work that this node has sent to the backend. */
--- a/gateway/src/main/java/org/lockdale/gateway/cache/CacheDirectory.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/CacheDirectory.java
@@ -16,8 +16,9 @@
 import org.lockdale.gateway.configuration.CacheStore;
 
 /**
- * Known contents of each engine and each store of cached prompts. The followers, one for each
- * holder, run on one event loop; the request path reads from any thread.
+ * Known contents of each engine and each store of cached prompts. The contents are kept current by
+ * one follower for each holder. The followers run on one event loop; the request path reads from
+ * any thread.
  */
 public final class CacheDirectory {
 
@@ -74,11 +75,11 @@
   /**
    * Sets whether the holders are followed.
    *
-   * @param wanted whether to follow them; where false, the followers are closed and their contents
+   * @param enabled whether to follow them; if false, the followers are closed and what they know is
    *     dropped
    */
-  public void follow(boolean wanted) {
-    following = wanted;
+  public void follow(boolean enabled) {
+    following = enabled;
     eventLoop.execute(this::reconcile);
   }
 
@@ -118,9 +119,9 @@
             });
   }
 
-  private Holder follow(InetSocketAddress address, boolean listFirst) {
+  private Holder follow(InetSocketAddress address, boolean snapshotFirst) {
     HeldParts held = new HeldParts();
-    CacheFollower follower = new CacheFollower(eventLoop, source, address, held, listFirst);
+    CacheFollower follower = new CacheFollower(eventLoop, source, address, held, snapshotFirst);
     follower.start();
     return new Holder(address, held, follower);
   }
@@ -148,12 +149,12 @@
 
   /** Returns the stores that respond. */
   public List<StoreView> stores() {
-    List<StoreView> answering = new ArrayList<>(stores.size());
+    List<StoreView> available = new ArrayList<>(stores.size());
     for (Holder holder : stores.values()) {
       if (holder.held().isAvailable()) {
-        answering.add(new StoreView(holder.address(), holder.held()));
+        available.add(new StoreView(holder.address(), holder.held()));
       }
     }
-    return answering;
+    return available;
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/cache/CacheFollower.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/CacheFollower.java
@@ -13,7 +13,9 @@
  */
 final class CacheFollower {
 
-  private static final Duration WAIT = Duration.ofMillis(800);
+  /** Longest time for which a poll waits at the holder for a change. */
+  private static final Duration LONG_POLL_WAIT = Duration.ofMillis(800);
+
   private static final long FIRST_RETRY_MILLIS = 300;
   private static final int MAX_DOUBLINGS = 4;
 
@@ -71,7 +73,9 @@
       return;
     }
     CompletableFuture<CacheEventPage> response =
-        inSync || !snapshotFirst ? source.changes(holder, next, WAIT) : source.contents(holder);
+        inSync || !snapshotFirst
+            ? source.changes(holder, next, LONG_POLL_WAIT)
+            : source.contents(holder);
     response.whenCompleteAsync(
         (page, failure) -> {
           if (closed) {
--- a/gateway/src/main/java/org/lockdale/gateway/cache/CachePlanner.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/CachePlanner.java
@@ -157,10 +157,10 @@
    */
   private @Nullable InetSocketAddress destinationOf(List<Long> keys, long nowMillis) {
     long deepest = keys.get(keys.size() - 1);
-    List<CacheDirectory.StoreView> answering = directory.stores();
+    List<CacheDirectory.StoreView> available = directory.stores();
     InetSocketAddress home =
-        homeAmong(answering.stream().map(CacheDirectory.StoreView::address).toList(), deepest);
-    for (CacheDirectory.StoreView store : answering) {
+        homeAmong(available.stream().map(CacheDirectory.StoreView::address).toList(), deepest);
+    for (CacheDirectory.StoreView store : available) {
       if (store.address().equals(home) && store.held().expect(deepest, nowMillis)) {
         return home;
       }
--- a/gateway/src/main/java/org/lockdale/gateway/drain/BackendStatements.java
+++ b/gateway/src/main/java/org/lockdale/gateway/drain/BackendStatements.java
@@ -22,8 +22,8 @@
   private static final long UNREADABLE_LOG_MILLIS = 1_000;
 
   /**
-   * A backoff is extended by a random time of at most this fraction of its length, and at most
-   * {@link #MAX_SPREAD_MILLIS}.
+   * Divisor of the length of a backoff that yields the upper bound of its random extension, which
+   * is also limited to {@link #MAX_SPREAD_MILLIS}.
    */
   private static final long SPREAD_DIVISOR = 10;
 
@@ -38,7 +38,7 @@
   private final AtomicLong nextUnreadableLogMillis = new AtomicLong(Long.MIN_VALUE);
 
   /**
-   * Creates an instance without counts.
+   * Creates a processor of responses.
    *
    * @param leavings the incarnations known to be draining
    * @param time clock
@@ -49,13 +49,13 @@
   }
 
   /** Processes a response of a backend to this node. May be called on any thread. */
-  public void heard(TrackedBackend backend, AnswerHead answer) {
-    if (answer.leaving() && leavings.heard(backend)) {
+  public void heard(TrackedBackend backend, AnswerHead response) {
+    if (response.leaving() && leavings.recordAnnouncement(backend)) {
       drainAnnouncementCount.incrementAndGet();
     }
-    if (answer.rest() instanceof RestStatement.Wanted requested) {
+    if (response.rest() instanceof RestStatement.Wanted requested) {
       backOff(backend, requested.millis());
-    } else if (answer.rest() instanceof RestStatement.Unreadable unreadable) {
+    } else if (response.rest() instanceof RestStatement.Unreadable unreadable) {
       logUnreadable(backend, unreadable.text());
     }
   }
@@ -68,7 +68,7 @@
    * @param incarnations the incarnations, by their text forms
    */
   public void told(String sender, List<String> incarnations) {
-    leavings.told(sender, incarnations);
+    leavings.recordNotification(sender, incarnations);
   }
 
   /**
--- a/gateway/src/main/java/org/lockdale/gateway/drain/Leavings.java
+++ b/gateway/src/main/java/org/lockdale/gateway/drain/Leavings.java
@@ -62,9 +62,9 @@
    * Records that a backend has announced to this node that it is draining, and notifies the other
    * nodes unless another node already did.
    *
-   * @return whether this node did not know it
+   * @return whether this node did not know it before
    */
-  boolean heard(TrackedBackend backend) {
+  boolean recordAnnouncement(TrackedBackend backend) {
     String incarnation = backend.backend().id();
     boolean isNew = backend.leave();
     if (isNew && addIfAbsent(incarnation)) {
@@ -78,7 +78,7 @@
    * Records the incarnations, by their text forms, that announced to another node that they are
    * draining.
    */
-  void told(String sender, List<String> incarnations) {
+  void recordNotification(String sender, List<String> incarnations) {
     BackendTable table = backends.get();
     for (String incarnation : incarnations) {
       addIfAbsent(incarnation);
--- a/gateway/src/main/java/org/lockdale/gateway/weights/RolloutController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/RolloutController.java
@@ -67,7 +67,7 @@
   private final String nodeId;
   private final Time time;
   private final BooleanSupplier mayLead;
-  private final Set<String> updating = new HashSet<>();
+  private final Set<String> updatingHealthy = new HashSet<>();
   private final Set<String> updatingSuspected = new HashSet<>();
   private final Map<String, Long> retryAtMillis = new HashMap<>();
   private boolean leaseCallPending;
@@ -171,9 +171,9 @@
     for (WeightsPolicy.Move move : moves) {
       String engine = move.engine().backend().id();
       boolean suspected = move.engine().health().isSuspected();
-      Set<String> inProgress = suspected ? updatingSuspected : updating;
+      Set<String> inProgress = suspected ? updatingSuspected : updatingHealthy;
       boolean due = retryAtMillis.getOrDefault(engine, Long.MIN_VALUE) <= now;
-      boolean idle = !updating.contains(engine) && !updatingSuspected.contains(engine);
+      boolean idle = !updatingHealthy.contains(engine) && !updatingSuspected.contains(engine);
       if (due && idle && inProgress.size() < slots.limit(suspected)) {
         inProgress.add(engine);
         new EngineUpdate(eventLoop, tools, move, lease, nodeId, time::monotonicMillis)
@@ -184,7 +184,7 @@
   }
 
   private void updated(String engine, boolean held) {
-    updating.remove(engine);
+    updatingHealthy.remove(engine);
     updatingSuspected.remove(engine);
     if (held) {
       retryAtMillis.remove(engine);
@@ -216,14 +216,14 @@
           time.monotonicMillis() + Math.max(CONTENTION_MILLIS, lease.millisUntilFree());
       return CompletableFuture.completedFuture(null);
     }
-    long askedAt = time.monotonicMillis();
+    long requestedAt = time.monotonicMillis();
     return store
         .write(claim.get(), reading.version())
         .thenAcceptAsync(
             written -> {
-              boolean held = lease.mayAct(askedAt);
-              lease.written(written, askedAt);
-              nextLeaseCallMillis = askedAt + RENEWAL_MILLIS;
+              boolean held = lease.mayAct(requestedAt);
+              lease.written(written, requestedAt);
+              nextLeaseCallMillis = requestedAt + RENEWAL_MILLIS;
               if (!held) {
                 Logger.info("event=lease-taken lease=weights fence={}", written.version());
               }
--- a/gateway/src/main/java/org/lockdale/gateway/weights/RolloutSlots.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/RolloutSlots.java
@@ -13,7 +13,7 @@
  */
 record RolloutSlots(int healthy, int suspected) {
 
-  /** Engines that may be out of service at once whatever the size of the pool. */
+  /** Number of engines that may be out of service at once in a pool of any size. */
   private static final int MIN_OUT_OF_SERVICE = 2;
 
   /** One engine in this many may be out of service at once. */
@@ -44,9 +44,9 @@
   }
 
   /**
-   * Returns the maximum number of concurrent moves.
+   * Returns the maximum number of concurrent moves of engines of one kind.
    *
-   * @param isSuspected whether of engines whose last attempts failed, or of the others
+   * @param isSuspected true for engines whose last attempts failed, false for the others
    */
   int limit(boolean isSuspected) {
     return isSuspected ? suspected : healthy;
--- a/gateway/src/test/java/org/lockdale/gateway/drain/LeavingsTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/drain/LeavingsTest.java
@@ -42,22 +42,22 @@
 
   @Test
   public void otherNodesAreNotifiedOnceByTheNodeThatReceivedTheAnnouncement() {
-    assertTrue(draining.heard(table.find("i-1@1")));
-    assertFalse(draining.heard(table.find("i-1@1")));
+    assertTrue(draining.recordAnnouncement(table.find("i-1@1")));
+    assertFalse(draining.recordAnnouncement(table.find("i-1@1")));
     assertEquals(notified, List.of("i-1@1"));
   }
 
   @Test
   public void aNodeThatWasNotifiedDoesNotNotifyOthers() {
-    draining.told("node-2", List.of("i-1@1"));
+    draining.recordNotification("node-2", List.of("i-1@1"));
     assertTrue(table.find("i-1@1").isLeaving());
-    assertFalse(draining.heard(table.find("i-1@1")));
+    assertFalse(draining.recordAnnouncement(table.find("i-1@1")));
     assertEquals(notified, List.of());
   }
 
   @Test
   public void aRecordThatReturnsAsReadyIsStillDraining() {
-    draining.heard(table.find("i-1@1"));
+    draining.recordAnnouncement(table.find("i-1@1"));
     BackendTable back = tableOf("i-1@1", "i-2@1");
     draining.recall(back);
     assertFalse(back.find("i-1@1").isServing());
@@ -66,7 +66,7 @@
 
   @Test
   public void theNextIncarnationOfADrainedServerServes() {
-    draining.heard(table.find("i-1@1"));
+    draining.recordAnnouncement(table.find("i-1@1"));
     BackendTable next = tableOf("i-1@2");
     draining.recall(next);
     assertTrue(next.find("i-1@2").isServing());
@@ -74,7 +74,7 @@
 
   @Test
   public void anIncarnationReadAfterTheNotificationIsDraining() {
-    draining.told("node-2", List.of("i-3@1"));
+    draining.recordNotification("node-2", List.of("i-3@1"));
     BackendTable later = tableOf("i-3@1");
     draining.recall(later);
     assertTrue(later.find("i-3@1").isLeaving());
@@ -82,7 +82,7 @@
 
   @Test
   public void aNameWithoutAStartTimeDoesNotApplyToAnIncarnationWithOne() {
-    draining.told("node-2", List.of("i-1"));
+    draining.recordNotification("node-2", List.of("i-1"));
     assertTrue(table.find("i-1@1").isServing());
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/weights/WeightsPolicyTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/weights/WeightsPolicyTest.java
@@ -19,14 +19,14 @@
   private static final long BOUND = 8_000;
   private static final String MODEL = "model";
 
-  private static Backend engine(String id, long version, boolean leaving) {
+  private static Backend engine(String id, long version, boolean draining) {
     return new Backend(
         id,
         "pool",
         new InetSocketAddress(InetAddress.getLoopbackAddress(), 1),
         "zone",
         4,
-        leaving,
+        draining,
         Map.of(MODEL, version));
   }
 
