--- a/gateway/src/main/java/org/lockdale/gateway/placement/BackendChooser.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/BackendChooser.java
@@ -40,7 +40,7 @@
   /** Cost of a token of a running request, which takes up memory but little time. */
   private static final double RUNNING_COST = 0.05;
 
-  /** Cost of an open request, in tokens. */
+  /** Cost of an open request at an engine, in tokens, when a prompt is placed. */
   private static final double REQUEST_COST = 50;
 
   /**
@@ -128,8 +128,8 @@
   }
 
   /**
-   * Returns the candidates that are not unavailable. The list is copied only where it has to be:
-   * usually all candidates are available, and a copy for each decision would be wasted.
+   * Returns the candidates without the unavailable ones. The list is copied only where there are
+   * any: usually all candidates are available, and a copy for each decision would be wasted.
    */
   private static List<TrackedBackend> without(
       List<TrackedBackend> candidates, Predicate<TrackedBackend> isUnavailable) {
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PlacementDecider.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PlacementDecider.java
@@ -126,7 +126,7 @@
 
     /**
      * Candidates whose rate limit turned out to be used up, since another thread took the last
-     * request.
+     * request that it allowed.
      */
     private Set<TrackedBackend> exhausted = Set.of();
 
@@ -183,8 +183,8 @@
     }
 
     /**
-     * Reports that no candidate is available. Retrying at a backend that accepts requests again
-     * soon is better than sending the request to one that is known to fail.
+     * Returns the result where no candidate is available. Waiting for a backend that accepts
+     * requests again soon is better than sending the request to one that is known to fail.
      */
     private PlacementResult noneAvailable() {
       List<String> atRateLimit = new ArrayList<>();
