--- a/gateway/src/main/java/org/lockdale/gateway/request/Attempt.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/Attempt.java
@@ -23,14 +23,14 @@
 import org.lockdale.http.HttpResponseListener;
 
 /**
- * One attempt at one back end. A whole answer is held back until it is complete, so that a broken
- * one never reaches the caller; a stream is passed on event by event. Lives on the event loop of
- * the caller's connection.
+ * One attempt at one backend. A plain answer is buffered until it is complete, so that a broken one
+ * never reaches the caller; a stream is forwarded event by event. Confined to the event loop of the
+ * caller's connection.
  */
 final class Attempt implements HttpResponseListener {
 
   private static final int MAX_ANSWER_BYTES = 16 * 1024 * 1024;
-  private static final long NOT_BEGUN = -1;
+  private static final long NOT_STARTED = -1;
 
   private final RequestState state;
   private final TrackedBackend target;
@@ -38,23 +38,23 @@
   private final BackendProtocol protocol;
   private final BackendRates rates;
   private final BackendStatements statements;
-  private final LifeEvidence lives;
+  private final LifeEvidence liveness;
   private final Time time;
-  private final Runnable onBegun;
+  private final Runnable onFirstEvent;
   private final BiConsumer<Attempt, AttemptResult> onResult;
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private final BackendLoad.Share share;
   private @Nullable HttpCall call;
   private @Nullable AnswerHead head;
-  private @Nullable StreamRelay relay;
-  private long heardAtMillis;
+  private @Nullable StreamForwarder forwarder;
+  private long lastReceivedAtMillis;
   private long sentAtMillis;
   private long sentAtMonotonicMillis;
-  private long begunAtMillis = NOT_BEGUN;
+  private long startedAtMillis = NOT_STARTED;
   private LostAttempt.@Nullable Loss loss;
   private boolean ended;
   private boolean withdrawn;
-  private final Runnable lifeOver;
+  private final Runnable onIncarnationEnd;
   private String failure = "";
 
   Attempt(
@@ -64,9 +64,9 @@
       BackendProtocol protocol,
       BackendRates rates,
       BackendStatements statements,
-      LifeEvidence lives,
+      LifeEvidence liveness,
       Time time,
-      Runnable onBegun,
+      Runnable onFirstEvent,
       BiConsumer<Attempt, AttemptResult> onResult) {
     this.state = state;
     this.target = target;
@@ -74,25 +74,25 @@
     this.protocol = protocol;
     this.rates = rates;
     this.statements = statements;
-    this.lives = lives;
+    this.liveness = liveness;
     this.time = time;
-    this.onBegun = onBegun;
+    this.onFirstEvent = onFirstEvent;
     this.onResult = onResult;
-    this.lifeOver = () -> state.exchange.eventLoop().execute(this::lifeOver);
+    this.onIncarnationEnd = () -> state.exchange.eventLoop().execute(this::incarnationEnded);
     this.share = target.load().open(state.queuedTokens(), state.promptTokens());
   }
 
   /**
    * Sends the request.
    *
-   * @param client carries it
-   * @param mostConnections most connections that this node may have open to the back end
+   * @param client HTTP client that sends it
+   * @param maxConnections maximum number of connections that this node may have open to the backend
    */
-  void start(HttpClient client, int mostConnections) {
+  void start(HttpClient client, int maxConnections) {
     sentAtMillis = time.steadyMillis();
     sentAtMonotonicMillis = time.monotonicMillis();
-    heardAtMillis = sentAtMillis;
-    target.whenOver(lifeOver);
+    lastReceivedAtMillis = sentAtMillis;
+    target.whenOver(onIncarnationEnd);
     rates.sent(target.backend().id());
     call =
         client.send(
@@ -100,13 +100,13 @@
             plan.backend().address(),
             protocol.write(state.request, plan),
             this,
-            mostConnections);
+            maxConnections);
   }
 
   /**
-   * Gives the attempt up; no result is reported.
+   * Cancels the attempt without reporting a result.
    *
-   * @return whether the back end may have received the request
+   * @return whether the backend may have received the request
    */
   boolean cancel() {
     HttpCall current = call;
@@ -119,7 +119,10 @@
     return current.wasSent();
   }
 
-  /** Gives an attempt up whose answer has not begun; the back end may have received it. */
+  /**
+   * Abandons an attempt whose answer has not started, and reports it as failed: the backend may
+   * have received the request.
+   */
   void abandonWaiting(String reason) {
     if (!ended) {
       loss = LostAttempt.Loss.GIVEN_UP;
@@ -127,41 +130,48 @@
     }
   }
 
-  /** Nothing comes any more from a life that is over, though no close or reset may tell so. */
-  private void lifeOver() {
+  /**
+   * Fails the attempt, as an ended incarnation sends nothing more. The connection does not always
+   * show this by a close or reset.
+   */
+  private void incarnationEnded() {
     if (!ended) {
       loss = LostAttempt.Loss.SILENT;
-      abandon(brokenResult(), "its back end has started again");
+      abandon(brokenResult(), "its backend has restarted");
     }
   }
 
-  /** Returns whether no event of the answer has come yet. */
+  /** Returns whether no event of the answer was received yet. */
   boolean isWaiting() {
-    StreamRelay stream = relay;
+    StreamForwarder stream = forwarder;
     return stream == null || !stream.hasBegun();
   }
 
-  /** Returns how long nothing has come from the back end, in milliseconds. */
+  /** Returns the time since anything was received from the backend, in milliseconds. */
   long silentMillis() {
-    return time.steadyMillis() - heardAtMillis;
+    return time.steadyMillis() - lastReceivedAtMillis;
   }
 
-  /** Returns how the answer was lost before it was whole; null where the back end ended it. */
+  /** Returns how the answer was lost before it was complete; null if it was not lost. */
   LostAttempt.@Nullable Loss loss() {
     return loss;
   }
 
   /**
-   * Returns how long the answer has been coming, in milliseconds: 0 before the first event of a
-   * stream. Other answers don't tell when they begin, so these count from the sending.
+   * Returns for how long the answer has been arriving, in milliseconds: 0 before the first event of
+   * a stream. The start of other answers is not visible, so their time counts from sending the
+   * request.
    */
   long answerMillis() {
     boolean streams = state.route().kind() == RouteKind.STREAM;
-    long since = streams ? begunAtMillis : sentAtMillis;
-    return since == NOT_BEGUN ? 0 : time.steadyMillis() - since;
+    long since = streams ? startedAtMillis : sentAtMillis;
+    return since == NOT_STARTED ? 0 : time.steadyMillis() - since;
   }
 
-  /** Returns when the connection that carries it came up, by the monotonic clock. */
+  /**
+   * Returns the monotonic time at which the connection of the attempt was established, in
+   * milliseconds.
+   */
   long connectedAtMillis() {
     HttpCall current = call;
     return time.monotonicMillis() - (current == null ? 0 : current.connectionAgeMillis());
@@ -175,13 +185,13 @@
     return plan;
   }
 
-  /** Returns why the attempt failed, in words. */
+  /** Returns the reason of the failure for messages; empty if there is none. */
   String failure() {
     return failure;
   }
 
-  /** Returns the failed answer of the back end itself, or null where there is none whole. */
-  @Nullable HttpReply ownFailureReply() {
+  /** Returns the complete failure answer of the backend, or null if there is none. */
+  @Nullable HttpReply backendFailureReply() {
     AnswerHead received = head;
     return received == null ? null : new HttpReply(received.status(), received.headers(), bytes());
   }
@@ -190,7 +200,10 @@
     return body.toByteArray();
   }
 
-  /** What a back end said while the request waited for a connection counts as well. */
+  /**
+   * Checks again just before sending, as the backend may have announced draining or a backoff while
+   * the request waited for a connection.
+   */
   @Override
   public boolean maySend() {
     withdrawn = !target.isServing() || target.rest().isOn(time.monotonicMillis());
@@ -204,7 +217,7 @@
 
   @Override
   public void onHead(int status, HttpHeaders headers) {
-    heard();
+    recordReceived();
     AnswerHead received = protocol.read(status, headers);
     head = received;
     String model = state.request.model();
@@ -212,18 +225,18 @@
       target.observeWeights(model, received.weights());
     }
     if (!received.misdirected()) {
-      lives.answered(target, connectedAtMillis(), sentAtMonotonicMillis);
+      liveness.answered(target, connectedAtMillis(), sentAtMonotonicMillis);
       rates.stated(target.backend().id(), received.rate(), sentAtMonotonicMillis);
       statements.heard(target, received);
     }
     if (received.misdirected()) {
-      finish(AttemptResult.MISDIRECTED, "it is not the back end that was meant");
+      finish(AttemptResult.MISDIRECTED, "it is not the intended incarnation or has other weights");
     } else if (received.notRun()) {
-      finish(AttemptResult.NOT_RUN, "it takes no request now");
+      finish(AttemptResult.NOT_RUN, "it accepts no requests now");
     } else if (received.isSuccess() && !received.authentic()) {
       abandon(AttemptResult.FAILED, "its answer has no proof of origin");
     } else if (received.isSuccess() && received.events()) {
-      relay = new StreamRelay(state, received, time);
+      forwarder = new StreamForwarder(state, received, time);
     }
   }
 
@@ -232,12 +245,12 @@
     if (ended) {
       return;
     }
-    heard();
-    StreamRelay stream = relay;
+    recordReceived();
+    StreamForwarder stream = forwarder;
     if (stream != null) {
-      relayPart(stream, content);
+      forwardPart(stream, content);
     } else if (body.size() + content.readableBytes() > MAX_ANSWER_BYTES) {
-      abandon(AttemptResult.FAILED, "its answer is over the size limit");
+      abandon(AttemptResult.FAILED, "its answer exceeds the size limit");
     } else {
       byte[] part = new byte[content.readableBytes()];
       content.readBytes(part);
@@ -245,20 +258,23 @@
     }
   }
 
-  /** Nothing can come while the machine is suspended, so silence doesn't count that time. */
-  private void heard() {
-    heardAtMillis = time.steadyMillis();
+  /**
+   * Records that something was received. Uses the steady clock, which stops while the machine is
+   * suspended, so that suspension does not count as silence.
+   */
+  private void recordReceived() {
+    lastReceivedAtMillis = time.steadyMillis();
   }
 
-  private void relayPart(StreamRelay stream, ByteBuf content) {
+  private void forwardPart(StreamForwarder stream, ByteBuf content) {
     try {
       stream.accept(content);
       if (stream.hasBegun() && share.begin()) {
-        begunAtMillis = heardAtMillis;
-        onBegun.run();
+        startedAtMillis = lastReceivedAtMillis;
+        onFirstEvent.run();
       }
     } catch (IllegalArgumentException malformed) {
-      abandon(brokenResult(), "its stream can't be read: " + malformed.getMessage());
+      abandon(brokenResult(), "its stream cannot be parsed: " + malformed.getMessage());
       return;
     }
     if (stream.isCallerTooSlow()) {
@@ -274,11 +290,12 @@
     AnswerHead received = head;
     if (received == null) {
       finish(AttemptResult.FAILED, "it sent no answer");
-    } else if (relay != null) {
-      relay.end();
+    } else if (forwarder != null) {
+      forwarder.end();
       finish(AttemptResult.COMPLETE, "");
     } else if (received.promisesNotRun()) {
-      // Without the back end's own word that it did not run the request, nobody may promise it.
+      // The answer normally implies that the request was not run, but without an explicit
+      // statement of the backend this must not be promised to the caller.
       head = null;
       finish(AttemptResult.FAILED, "it answered " + received.status() + " without a reason");
     } else if (received.isServerError()) {
@@ -311,7 +328,9 @@
   }
 
   private AttemptResult brokenResult() {
-    return relay != null && state.answerStarted ? AttemptResult.BROKEN_OFF : AttemptResult.FAILED;
+    return forwarder != null && state.answerStarted
+        ? AttemptResult.BROKEN_OFF
+        : AttemptResult.FAILED;
   }
 
   private void abandon(AttemptResult result, String reason) {
@@ -331,10 +350,10 @@
   }
 
   private void release() {
-    target.forget(lifeOver);
+    target.forget(onIncarnationEnd);
     share.end();
-    if (relay != null) {
-      relay.close();
+    if (forwarder != null) {
+      forwarder.close();
     }
   }
 }
--- /dev/null
+++ b/gateway/src/main/java/org/lockdale/gateway/request/AttemptMonitor.java
@@ -0,0 +1,102 @@
+package org.lockdale.gateway.request;
+
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+
+/**
+ * Periodically checks whether an attempt can still succeed: whether its connection has gone silent
+ * for good, and whether the weights that it waits for have become too old to start on. Stops once
+ * the request no longer depends on the attempt. Confined to the event loop of the caller's
+ * connection.
+ */
+final class AttemptMonitor {
+
+  private static final long WEIGHTS_CHECK_INTERVAL_MILLIS = 150;
+
+  /** No connection is considered dead before this: links lose packets, and nodes pause. */
+  private static final long MIN_SILENCE_MILLIS = 1_000;
+
+  /**
+   * Number of gap objectives of silence after which a started answer is considered lost. Callers
+   * wait for at least eight; the other half leaves time to resume.
+   */
+  private static final int MAX_SILENT_GAPS = 4;
+
+  private final RequestState state;
+  private final Attempt attempt;
+  private final BooleanSupplier isCurrent;
+
+  /**
+   * Creates a monitor.
+   *
+   * @param state the request
+   * @param attempt the attempt to monitor
+   * @param isCurrent whether the request still depends on the attempt
+   */
+  AttemptMonitor(RequestState state, Attempt attempt, BooleanSupplier isCurrent) {
+    this.state = state;
+    this.attempt = attempt;
+    this.isCurrent = isCurrent;
+  }
+
+  /**
+   * Runs an action once the connection has been silent for too long. A dead connection is not
+   * always closed or reset, so silence may be the only sign.
+   *
+   * @param waitMillis longest silence before the answer begins, in milliseconds
+   * @param onSilent action that may abandon the attempt; if it does not, the attempt goes on
+   *     without this check
+   */
+  void onSilence(long waitMillis, Runnable onSilent) {
+    long maxSilenceMillis =
+        Math.max(
+            MIN_SILENCE_MILLIS,
+            attempt.isWaiting()
+                ? waitMillis
+                : state.route().gapObjective().toMillis() * MAX_SILENT_GAPS);
+    after(
+        Math.max(1, maxSilenceMillis - attempt.silentMillis()),
+        () -> {
+          if (attempt.silentMillis() < maxSilenceMillis) {
+            onSilence(waitMillis, onSilent);
+          } else {
+            onSilent.run();
+          }
+        });
+  }
+
+  /**
+   * Abandons the attempt if it still waits at an engine when the engine's weights become too old to
+   * start on.
+   *
+   * @param isOutdated whether the weights are too old by now
+   */
+  void onOutdatedWeights(BooleanSupplier isOutdated) {
+    after(
+        WEIGHTS_CHECK_INTERVAL_MILLIS,
+        () -> {
+          if (!attempt.isWaiting()) {
+            return;
+          }
+          if (isOutdated.getAsBoolean()) {
+            attempt.abandonWaiting("its weights are out of date");
+          } else {
+            onOutdatedWeights(isOutdated);
+          }
+        });
+  }
+
+  private void after(long millis, Runnable check) {
+    state
+        .exchange
+        .eventLoop()
+        .schedule(
+            () -> {
+              if (isCurrent.getAsBoolean()) {
+                check.run();
+              }
+            },
+            millis,
+            TimeUnit.MILLISECONDS);
+  }
+}
--- a/gateway/src/main/java/org/lockdale/gateway/request/AttemptObserver.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/AttemptObserver.java
@@ -2,17 +2,17 @@
 
 import org.lockdale.protocol.generated.AttemptVerdict;
 
-/** Told of the progress of attempts, from any thread. */
+/** Observes the progress of attempts. Called from any thread. */
 public interface AttemptObserver {
 
-  /** A request has begun to be answered, or has ended. */
+  /** Called when a request has started to be answered, or has ended. */
   void workChanged();
 
   /**
-   * An attempt has ended.
+   * Called when an attempt has ended.
    *
-   * @param backend id of the back end
-   * @param verdict what the attempt showed of it
+   * @param backend id of the backend
+   * @param verdict what the attempt shows about the backend's health
    */
   void concluded(String backend, AttemptVerdict verdict);
 }
--- /dev/null
+++ b/gateway/src/main/java/org/lockdale/gateway/request/AttemptReporter.java
@@ -0,0 +1,115 @@
+package org.lockdale.gateway.request;
+
+import org.jspecify.annotations.Nullable;
+import org.lockdale.gateway.quarantine.LostAttempt;
+import org.lockdale.gateway.quarantine.SuspectAttempt;
+import org.tinylog.Logger;
+
+/**
+ * Reports what the attempts of one request show about their backends: to health tracking, the
+ * quarantine and the observer.
+ */
+final class AttemptReporter {
+
+  private final RequestPath path;
+  private final RequestState state;
+
+  /** Suspect attempt that is recorded in the shared store while it runs; null if none. */
+  private @Nullable SuspectAttempt recordedAttempt;
+
+  AttemptReporter(RequestPath path, RequestState state) {
+    this.path = path;
+    this.state = state;
+  }
+
+  /** Must be called when an attempt is about to be sent. */
+  void onSending(Attempt attempt) {
+    concludeRecorded(false);
+    String backend = attempt.target().backend().id();
+    recordedAttempt =
+        path.quarantine().sending(state.request, state.caller(), backend).orElse(null);
+  }
+
+  /** Must be called when the request has ended, whatever attempt was running. */
+  void onRequestEnded() {
+    concludeRecorded(false);
+  }
+
+  private void concludeRecorded(boolean mayHaveCrashed) {
+    SuspectAttempt attempt = recordedAttempt;
+    if (attempt != null) {
+      recordedAttempt = null;
+      path.quarantine().concluded(attempt, mayHaveCrashed);
+    }
+  }
+
+  /** Reports the result of an attempt. */
+  void onConcluded(Attempt attempt, AttemptResult result) {
+    long now = path.nowMillis();
+    var health = attempt.target().health();
+    if (result != AttemptResult.NOT_SENT && result != AttemptResult.WITHDRAWN) {
+      state.sends++;
+    }
+    switch (result) {
+      case COMPLETE -> health.succeeded();
+      case WITHDRAWN -> path.statements().withdrawn();
+      case NOT_SENT -> health.unreachable(now);
+      case NOT_RUN, MISDIRECTED -> health.rejected(now);
+      default -> {
+        if (!isCausedByRequest(attempt)) {
+          health.failed(now);
+        }
+      }
+    }
+    LostAttempt.Loss loss = attempt.loss();
+    if (loss != null) {
+      onLost(attempt, loss);
+    }
+    concludeRecorded(false);
+    if (result == AttemptResult.MISDIRECTED) {
+      path.incarnations()
+          .misdirected(attempt.target(), state.request.model(), attempt.plan().expectedWeights());
+    }
+    if (isCausedByRequest(attempt)) {
+      path.workChanged();
+    } else {
+      path.report(attempt.target(), result);
+    }
+    if (result != AttemptResult.COMPLETE) {
+      Logger.info(
+          "event=attempt-failed request={} backend={} result={} reason=\"{}\"",
+          state.request.id(),
+          attempt.target().backend().id(),
+          result,
+          attempt.failure());
+    }
+  }
+
+  /**
+   * Reports that the connection of an attempt was lost: the backend may have crashed, and this
+   * request may be the cause.
+   */
+  void onLost(Attempt attempt, LostAttempt.Loss loss) {
+    concludeRecorded(true);
+    path.quarantine()
+        .lost(
+            new LostAttempt(
+                attempt.target().backend().id(),
+                attempt.target().backend().address(),
+                state.request,
+                state.caller(),
+                attempt.answerMillis(),
+                loss,
+                attempt.connectedAtMillis()));
+  }
+
+  /**
+   * Returns whether a backend answered with a failure after another one had failed too, which is
+   * attributed to the request rather than to the backend. If these counted against backends, those
+   * that receive mostly retries would seem to fail most: 65 to 94% of a service's requests then
+   * went to one of three backends.
+   */
+  private boolean isCausedByRequest(Attempt attempt) {
+    return state.possibleRuns > 0 && attempt.backendFailureReply() != null;
+  }
+}
--- a/gateway/src/main/java/org/lockdale/gateway/request/AttemptResult.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/AttemptResult.java
@@ -1,19 +1,25 @@
 package org.lockdale.gateway.request;
 
-/** How an attempt at one back end ended. */
+/** Result of an attempt at one backend. */
 enum AttemptResult {
-  /** The whole answer was passed on. */
+  /** The complete answer was forwarded to the caller. */
   COMPLETE,
   /** The request did not leave this node. */
   NOT_SENT,
-  /** The request did not leave this node, since its back end takes none now. */
+  /**
+   * The request did not leave this node, since the backend accepts no requests now or this node's
+   * connections to it are used up.
+   */
   WITHDRAWN,
-  /** The back end said that it did not and will not run the request. */
+  /** The backend reported that it did not and will not run the request. */
   NOT_RUN,
-  /** As {@link #NOT_RUN}, since it is another incarnation or has other weights than expected. */
+  /**
+   * As {@link #NOT_RUN}, because the backend is another incarnation or has other weights than
+   * expected.
+   */
   MISDIRECTED,
-  /** The back end may have run the request, and nothing was passed on. */
+  /** The backend may have run the request, and nothing was forwarded to the caller. */
   FAILED,
-  /** A stream broke after a part of it was passed on. */
+  /** A stream broke after a part of it was forwarded. */
   BROKEN_OFF
 }
--- a/gateway/src/main/java/org/lockdale/gateway/request/EndToEndHeaders.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/EndToEndHeaders.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * Headers of a request or an answer that are meant for its final recipient, without those that
- * concern one connection only.
+ * Extracts the end-to-end headers of a request or an answer, without those that concern a single
+ * connection only.
  */
 public final class EndToEndHeaders {
 
@@ -29,12 +29,12 @@
   private EndToEndHeaders() {}
 
   /**
-   * Returns a copy without the headers of the connection. A peer may name further ones as such in
-   * {@code Connection}, but not those that the recipient needs: a caller could otherwise make the
-   * gateway drop the id of its request, or a server the proof of its answer.
+   * Returns a copy without hop-by-hop headers. A peer may list further hop-by-hop headers in {@code
+   * Connection}, but not those that the recipient needs: a caller could otherwise make the gateway
+   * drop the id of its request, or a server the proof of its answer.
    *
    * @param headers all headers as received
-   * @param needed names, in lower case, that are end to end whatever the peer says
+   * @param needed lower-case names of headers that are always treated as end-to-end
    */
   public static HttpHeaders of(HttpHeaders headers, Set<String> needed) {
     HttpHeaders copy =
--- a/gateway/src/main/java/org/lockdale/gateway/request/PhaseFilter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/PhaseFilter.java
@@ -4,10 +4,10 @@
 import org.lockdale.coordination.blackboard.Section;
 import org.lockdale.gateway.blackboard.GatewayPhase;
 
-/** Refuses requests that come so late in a planned stop that they might be cut off. */
+/** Refuses requests that arrive so late in a planned stop that they might be interrupted. */
 final class PhaseFilter implements RequestFilter {
 
-  /** Another node takes the request at once. */
+  /** Minimal delay: another node can take the request at once. */
   private static final long RETRY_AFTER_MILLIS = 1;
 
   private final Section<GatewayPhase> phase;
--- a/gateway/src/main/java/org/lockdale/gateway/request/PoolWaits.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/PoolWaits.java
@@ -5,25 +5,28 @@
 import org.lockdale.coordination.time.Time;
 
 /**
- * What this node knows of the waits at its pools, learned from the answers of their back ends. Safe
- * for use by several threads.
+ * Estimates the waiting times at the pools of this node from the answers of their backends.
+ * Thread-safe.
  */
 final class PoolWaits {
 
-  /** When to come back to a pool where nothing waits: the usual time of a short call. */
-  private static final long UNKNOWN_COME_BACK_MILLIS = 250;
+  /** Retry time for a pool where nothing waits: the usual duration of a short call. */
+  private static final long EMPTY_QUEUE_RETRY_MILLIS = 250;
 
-  /** A caller that comes back sooner than this would find the same queue. */
-  private static final long LEAST_COME_BACK_MILLIS = 50;
+  /** Minimum retry time; a caller that retries sooner would find the same queue. */
+  private static final long MIN_RETRY_MILLIS = 50;
 
-  /** Requests of one rank that wait at a pool; more urgent ones pass them. */
+  /** The requests of one priority that wait at a pool. More urgent ones overtake them. */
   private record Queue(String pool, int priority) {}
 
-  /** Part of the time left in which a request has to begin to be answered; the rest it runs. */
-  private static final double MOST_WAITED_PART = 0.7;
+  /**
+   * Fraction of the remaining time within which the answer has to start; the rest is left to
+   * complete it.
+   */
+  private static final double MAX_WAIT_FRACTION = 0.7;
 
   private final Time time;
-  private final WaitEstimate waits = new WaitEstimate();
+  private final WaitEstimate waitEstimate = new WaitEstimate();
   private final Map<Queue, QueueForecast> queues = new ConcurrentHashMap<>();
 
   PoolWaits(Time time) {
@@ -31,53 +34,61 @@
   }
 
   /**
-   * Returns whether a request that was placed would be late in its turn. Where more comes than
-   * engines can do, a queue in order of arrival makes everything late; a request that would be late
-   * lets those pass that can still be in time.
+   * Returns whether a placed request would miss its latency objective if it kept its priority. When
+   * engines are overloaded, serving in order of arrival makes every request late; such a request is
+   * deferred in favour of those that can still meet their objective.
    */
   boolean wouldBeLate(RequestState state) {
     if (state.prompt == null) {
       return false;
     }
-    double wait = waits.predictMillis(state.ownPriority(), state.tokensUntilFirstEvent());
+    double wait =
+        waitEstimate.predictMillis(state.configuredPriority(), state.tokensUntilFirstEvent());
     long elapsed = time.monotonicMillis() - state.arrivedAtMillis;
     return elapsed + wait > state.route().latencyObjective().toMillis();
   }
 
   /**
-   * Returns whether a request that was placed can hardly be served in its time, and is better told
-   * so now: it would be late by what waits at its engine, and what this node has waiting at the
-   * pool begins too slowly. Each of the two alone errs: the first knows nothing of engines that
-   * stand still, the second nothing of ones that are free.
+   * Returns whether a placed request is so unlikely to be served in time that it is better refused
+   * now. Both estimates have to show it: that from the tokens queued at its engine does not
+   * recognize engines that have stalled, and that from this node's queue at the pool does not
+   * recognize engines that are free.
    */
-  boolean isHopeless(RequestState state) {
-    long left = state.endsAtMillis() - time.monotonicMillis();
-    return wouldBeLate(state) && queueOf(state).predictMillis() > left * MOST_WAITED_PART;
+  boolean cannotMeetDeadline(RequestState state) {
+    long left = state.deadlineAtMillis() - time.monotonicMillis();
+    return wouldBeLate(state) && queueOf(state).predictMillis() > left * MAX_WAIT_FRACTION;
   }
 
-  /** Notes that a request is sent. */
-  QueueForecast.Place sent(RequestState state) {
+  /** Adds a request that is being sent to the queue of its pool and priority. */
+  QueueForecast.Place enqueue(RequestState state) {
     return queueOf(state).join();
   }
 
-  /** Notes that an engine began to answer a prompt that was sent at a time. */
-  void begun(RequestState state, long sentAtMillis) {
+  /**
+   * Records the time to the first event of a request. Deferred requests are not counted.
+   *
+   * @param sentAtMillis monotonic time at which the request was sent
+   */
+  void recordFirstEvent(RequestState state, long sentAtMillis) {
     if (!state.deferred) {
       long millis = time.monotonicMillis() - sentAtMillis;
-      waits.observe(state.ownPriority(), state.tokensUntilFirstEvent(), millis);
+      waitEstimate.observe(state.configuredPriority(), state.tokensUntilFirstEvent(), millis);
     }
   }
 
-  /** Returns when what waits at a request's pool now will have begun, in milliseconds. */
-  long comeBackMillis(RequestState state) {
+  /**
+   * Returns the predicted time until the requests that wait at the pool now have started, in
+   * milliseconds.
+   */
+  long retryAfterMillis(RequestState state) {
     QueueForecast queue = queueOf(state);
     return queue.waiting() == 0
-        ? UNKNOWN_COME_BACK_MILLIS
-        : Math.max(LEAST_COME_BACK_MILLIS, Math.round(queue.predictMillis()));
+        ? EMPTY_QUEUE_RETRY_MILLIS
+        : Math.max(MIN_RETRY_MILLIS, Math.round(queue.predictMillis()));
   }
 
   private QueueForecast queueOf(RequestState state) {
-    Queue queue = new Queue(state.pool, state.ownPriority());
+    Queue queue = new Queue(state.pool, state.configuredPriority());
     return queues.computeIfAbsent(queue, key -> new QueueForecast(time));
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/request/QuarantineFilter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/QuarantineFilter.java
@@ -9,16 +9,22 @@
 import org.tinylog.Logger;
 
 /**
- * Refuses requests under which back ends ended, before anything is spent on them. Follows the
- * tenant filter, since the same contents of another caller are another request.
+ * Refuses requests that crashed backends before, prior to any costly processing. Runs after the
+ * tenant filter, since the same contents from another caller are another request.
  */
 final class QuarantineFilter implements RequestFilter {
 
-  /** Callers that come back sooner than the hold ends learn within this time of a release. */
+  /**
+   * Upper bound of the retry time. A caller learns within this time if an operator releases the
+   * request before its quarantine ends.
+   */
   private static final long MAX_RETRY_AFTER_MILLIS = 300_000;
 
-  /** Callers that were refused together don't come back together. */
-  private static final double LEAST_SPREAD = 0.8;
+  /**
+   * Lower bound of the random factor that spreads the retries of callers that were refused
+   * together.
+   */
+  private static final double MIN_SPREAD_FACTOR = 0.8;
 
   private final Quarantine quarantine;
   private final Time time;
@@ -42,7 +48,7 @@
         held.ends());
     return new Refusal(
         RefusalKind.HELD_BACK,
-        "Servers ended each time this request ran, so it was not run again. Change it, or ask the"
+        "Servers crashed each time this request ran, so it was not run again. Change it, or ask the"
             + " operators to release "
             + held.fingerprint()
             + ".",
@@ -50,8 +56,8 @@
   }
 
   private long retryAfterMillis(HeldRequest held) {
-    long rest = held.untilMillis() - time.monotonicMillis();
-    double spread = ThreadLocalRandom.current().nextDouble(LEAST_SPREAD, 1);
-    return Math.max(1, (long) (Math.min(rest, MAX_RETRY_AFTER_MILLIS) * spread));
+    long remaining = held.untilMillis() - time.monotonicMillis();
+    double factor = ThreadLocalRandom.current().nextDouble(MIN_SPREAD_FACTOR, 1);
+    return Math.max(1, (long) (Math.min(remaining, MAX_RETRY_AFTER_MILLIS) * factor));
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/request/QueueForecast.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/QueueForecast.java
@@ -3,17 +3,17 @@
 import org.lockdale.coordination.time.Time;
 
 /**
- * Predicts how long a request waits in a queue that this node can't see, from how many of its own
- * requests wait there and how often one of them begins to be served: the number that waits is the
- * rate times the wait (Little's law). A pause is taken to last as long again as it has lasted, so
- * that a queue from which nothing begins grows slower with every moment. An empty queue predicts no
- * wait. No I/O; safe for use by several threads.
+ * Predicts the wait in a queue that this node cannot see, from the number of its own requests in it
+ * and the rate at which they start to be recordServed: the number waiting is the rate times the
+ * wait (Little's law). While nothing starts, the time since the latest start is added to the
+ * prediction, which therefore grows continuously. An empty queue predicts no wait. Performs no I/O.
+ * Thread-safe.
  */
 public final class QueueForecast {
 
   /**
-   * Weight of the newest interval: a rate that falls to a quarter is followed to nine tenths within
-   * 20 intervals.
+   * Weight of the newest interval in the moving average: after the rate has dropped to a quarter,
+   * the average covers nine tenths of the change within 20 intervals.
    */
   private static final double NEWEST_WEIGHT = 0.12;
 
@@ -21,66 +21,69 @@
   private int waiting;
   private int intervals;
   private double intervalMillis;
-  private long latestProgressMillis;
+  private long latestStartMillis;
 
   /** Creates the forecast of an empty queue. */
   public QueueForecast(Time time) {
     this.time = time;
   }
 
-  /** One request in the queue; leaves it once, however often that is told. */
+  /** The place of one request in the queue. It is vacated once; further calls have no effect. */
   public final class Place {
-    private boolean left;
+    private boolean vacated;
 
     private Place() {}
 
-    /** Notes that the request begins to be served. */
+    /** Records that the request starts to be recordServed. */
     public void begin() {
       synchronized (QueueForecast.this) {
-        if (!left) {
-          left = true;
-          served();
+        if (!vacated) {
+          vacated = true;
+          recordServed();
         }
       }
     }
 
-    /** Notes that the request waits no longer, whether or not it was served. */
+    /** Records that the request no longer waits, whether or not it was recordServed. */
     public void leave() {
       synchronized (QueueForecast.this) {
-        if (!left) {
-          left = true;
+        if (!vacated) {
+          vacated = true;
           waiting--;
         }
       }
     }
   }
 
-  /** Notes that a request joins the queue. */
+  /** Adds a request to the queue. */
   public synchronized Place join() {
     if (waiting == 0) {
-      // A queue that was empty has told nothing since its latest progress.
-      latestProgressMillis = time.monotonicMillis();
+      // The time during which the queue was empty is not a service interval.
+      latestStartMillis = time.monotonicMillis();
     }
     waiting++;
     return new Place();
   }
 
-  private void served() {
+  private void recordServed() {
     long now = time.monotonicMillis();
-    double sample = now - latestProgressMillis;
+    double sample = now - latestStartMillis;
     double weight = Math.max(NEWEST_WEIGHT, 1.0 / (intervals + 1));
     intervalMillis += (sample - intervalMillis) * weight;
     intervals++;
-    latestProgressMillis = now;
+    latestStartMillis = now;
     waiting--;
   }
 
-  /** Predicts the wait of a request that would join now, in milliseconds; 0 for an empty queue. */
+  /**
+   * Returns the predicted wait of a request that would join now, in milliseconds; 0 for an empty
+   * queue.
+   */
   public synchronized double predictMillis() {
     if (waiting == 0) {
       return 0;
     }
-    double silence = Math.max(0, time.monotonicMillis() - latestProgressMillis);
+    double silence = Math.max(0, time.monotonicMillis() - latestStartMillis);
     return silence + intervalMillis * (waiting + 1.0);
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/request/Refusal.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/Refusal.java
@@ -1,15 +1,15 @@
 package org.lockdale.gateway.request;
 
 /**
- * An answer that this node gives itself.
+ * An error answer that this node itself gives.
  *
- * @param kind why
- * @param message what is wrong and how to mend it
- * @param retryAfterMillis when to come back, in milliseconds; 0 for no advice
+ * @param kind reason of the refusal
+ * @param message what is wrong and how to fix it
+ * @param retryAfterMillis time after which to retry, in milliseconds; 0 for no advice
  */
 public record Refusal(RefusalKind kind, String message, long retryAfterMillis) {
 
-  /** Returns a refusal without advice on when to come back. */
+  /** Returns a refusal without advice on when to retry. */
   public static Refusal of(RefusalKind kind, String message) {
     return new Refusal(kind, message, 0);
   }
--- a/gateway/src/main/java/org/lockdale/gateway/request/RefusalKind.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RefusalKind.java
@@ -1,26 +1,26 @@
 package org.lockdale.gateway.request;
 
-/** Reasons for which this node answers a request itself. */
+/** Reasons for which this node itself answers a request with an error. */
 public enum RefusalKind {
-  /** The request can't be read. */
+  /** The request cannot be parsed. */
   MALFORMED(400, false),
   /** The key belongs to no tenant. */
   UNKNOWN_KEY(401, false),
   /** No route has the host and path. */
   NO_ROUTE(404, false),
-  /** No configuration was read yet, or the one at hand is too old to rely on. */
+  /** No configuration was read yet, or the current one is too old to rely on. */
   NOT_CONFIGURED(503, true),
-  /** The tenant is beyond its limit; no back end was asked. */
+  /** The tenant exceeds its limit; the request was sent to no backend. */
   BEYOND_LIMIT(429, true),
-  /** Back ends ended each time the request ran; no further one gets it. */
+  /** The request is quarantined: backends crashed each time it ran. */
   HELD_BACK(503, true),
-  /** No back end takes the request now; none has begun to work on it. */
+  /** No backend accepts the request now, and none has started to run it. */
   UNAVAILABLE(503, true),
-  /** A back end failed and may have run the request. */
+  /** A backend failed and may have run the request. */
   BACKEND_FAILED(502, false),
-  /** The time allowed ran out, and a back end may have run the request. */
+  /** The request timed out, and a backend may have run it. */
   TIMED_OUT(504, false),
-  /** This node failed. */
+  /** An internal error occurred in this node. */
   INTERNAL(500, false);
 
   private final int status;
@@ -36,8 +36,8 @@
     return status;
   }
 
-  /** Returns whether the answer promises that the request has not run and never will. */
-  public boolean isNotRun() {
+  /** Returns whether the answer guarantees that the request has not run and never will. */
+  public boolean guaranteesNotRun() {
     return notRun;
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestExecution.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestExecution.java
@@ -17,7 +17,7 @@
 import org.tinylog.Logger;
 
 /**
- * The attempts of one request until it has its final answer. Lives on the event loop of the
+ * Runs the attempts of one request until it has its final answer. Confined to the event loop of the
  * caller's connection.
  */
 final class RequestExecution {
@@ -26,46 +26,55 @@
 
   private static final int MAX_WITHDRAWALS = 6;
 
-  /** An attempt with less time than this left is not worth sending. */
-  private static final long LEAST_ATTEMPT_MILLIS = 20;
+  /** An attempt with less time left than this is not worth sending. */
+  private static final long MIN_ATTEMPT_MILLIS = 20;
 
-  /** Part of the time left after which an answer that has not begun is asked for elsewhere. */
-  private static final int SILENT_PART = 2;
+  /**
+   * A repeatable request that gets no answer is retried at another backend once it has waited for
+   * its remaining time divided by this.
+   */
+  private static final int MAX_SILENCE_DIVISOR = 2;
 
   private final RequestPath path;
   private final RequestState state;
-  private final AttemptNotes notes;
+  private final AttemptReporter reporter;
   private @Nullable Attempt current;
   private QueueForecast.@Nullable Place queued;
   private @Nullable ScheduledFuture<?> timeout;
   private boolean ended;
 
-  /** When the caller is to come back, in milliseconds, where rates of back ends tell. */
-  private @Nullable Long comeBackMillis;
+  /**
+   * Time after which the caller should retry, in milliseconds; null unless rate limits of backends
+   * determine it.
+   */
+  private @Nullable Long retryAfterMillis;
 
   RequestExecution(RequestPath path, RequestState state) {
     this.path = path;
     this.state = state;
-    this.notes = new AttemptNotes(path, state);
+    this.reporter = new AttemptReporter(path, state);
   }
 
   void start() {
-    long remaining = state.endsAtMillis() - path.nowMillis();
+    long remaining = state.deadlineAtMillis() - path.nowMillis();
     timeout =
         state
             .exchange
             .eventLoop()
-            .schedule(this::timedOut, Math.max(0, remaining), TimeUnit.MILLISECONDS);
-    state.exchange.disconnected().thenRunAsync(this::callerLeft, state.exchange.eventLoop());
+            .schedule(this::onTimeout, Math.max(0, remaining), TimeUnit.MILLISECONDS);
+    state
+        .exchange
+        .disconnected()
+        .thenRunAsync(this::onCallerDisconnected, state.exchange.eventLoop());
     attempt();
   }
 
   private void attempt() {
     CompletableFuture<PlacementResult> placed = path.placements().place(query());
     if (placed.isDone()) {
-      placed(placed.join());
+      onPlaced(placed.join());
     } else {
-      placed.thenAcceptAsync(this::placed, state.exchange.eventLoop());
+      placed.thenAcceptAsync(this::onPlaced, state.exchange.eventLoop());
     }
   }
 
@@ -79,45 +88,46 @@
         state.triedBackends);
   }
 
-  private void placed(PlacementResult result) {
+  private void onPlaced(PlacementResult result) {
     if (ended) {
       return;
     }
     if (result instanceof PlacementResult.NotNow notNow) {
-      notNow(notNow.waitMillis());
+      waitOrRefuse(notNow.waitMillis());
       return;
     }
     Optional<Placement> placement = result.placed();
-    if (placement.isEmpty() || state.endsAtMillis() - path.nowMillis() < LEAST_ATTEMPT_MILLIS) {
-      giveUp("no back end of pool " + state.pool + " is left to try", null);
+    if (placement.isEmpty() || state.deadlineAtMillis() - path.nowMillis() < MIN_ATTEMPT_MILLIS) {
+      giveUp("no backend of pool " + state.pool + " is left to try", null);
       return;
     }
-    // Also before a further attempt: what ended the first back end would end the next one.
+    // Checked before each attempt: a request that crashed one backend would crash the next one.
     if (path.quarantine().held(state.request, state.caller()).isPresent()) {
-      giveUp("back ends ended each time this request ran", null);
+      giveUp("backends crashed each time this request ran", null);
       return;
     }
-    estimate(placement.get());
+    recordEstimate(placement.get());
     boolean isFirst = state.possibleRuns == 0 && !state.answerStarted;
-    if (isFirst && path.waits().isHopeless(state)) {
-      giveUp("too much waits at pool " + state.pool, null);
+    if (isFirst && path.waits().cannotMeetDeadline(state)) {
+      giveUp("too many requests wait at pool " + state.pool, null);
       return;
     }
     send(placement.get());
   }
 
-  private void estimate(Placement placement) {
+  private void recordEstimate(Placement placement) {
     state.sharedTokensToCompute = placement.computedTokens();
     state.waitingTokens = placement.waitingTokens();
   }
 
   /**
-   * Back ends that name rates take no more for a time. A request that can still be in time waits;
-   * one that can't is better off elsewhere or later, and is told when.
+   * Handles that all backends are at their rate limits. The request waits if it can still meet its
+   * objective; otherwise it is refused with a retry time, as it is better served elsewhere or
+   * later.
    */
-  private void notNow(long waitMillis) {
+  private void waitOrRefuse(long waitMillis) {
     long now = path.nowMillis();
-    if (now + waitMillis <= Math.min(state.waitsUntilMillis(), state.endsAtMillis())) {
+    if (now + waitMillis <= Math.min(state.waitDeadlineMillis(), state.deadlineAtMillis())) {
       state
           .exchange
           .eventLoop()
@@ -131,8 +141,8 @@
               TimeUnit.MILLISECONDS);
       return;
     }
-    comeBackMillis = waitMillis;
-    giveUp("the back ends of pool " + state.pool + " take no more requests now", null);
+    retryAfterMillis = waitMillis;
+    giveUp("the backends of pool " + state.pool + " are at their limits", null);
   }
 
   private void send(Placement placement) {
@@ -141,14 +151,14 @@
     state.triedBackends.add(target.backend().id());
     state.backend = target.backend().id();
     state.deferred = path.waits().wouldBeLate(state);
-    QueueForecast.Place place = path.waits().sent(state);
+    QueueForecast.Place place = path.waits().enqueue(state);
     queued = place;
     long sentAtMillis = path.nowMillis();
     AttemptPlan plan =
         new AttemptPlan(
             target.backend(),
             state.tenant,
-            state.endsAtMillis() - path.nowMillis(),
+            state.deadlineAtMillis() - path.nowMillis(),
             state.priority(),
             CacheNamespace.of(weights, isolatedTenant()),
             weights,
@@ -162,33 +172,35 @@
             path.backendProtocol(),
             path.rates(),
             path.statements(),
-            path.lifeEvidence(),
+            path.livenessEvidence(),
             path.time(),
-            () -> begun(place, sentAtMillis),
-            this::concluded);
+            () -> onFirstEvent(place, sentAtMillis),
+            this::onConcluded);
     current = attempt;
     path.placements().opened(placement);
-    notes.sending(attempt);
-    attempt.start(path.client(), path.mostConnections(state));
-    AttemptWatch watch = new AttemptWatch(state, attempt, () -> !ended && attempt == current);
+    reporter.onSending(attempt);
+    attempt.start(path.client(), path.maxConnectionsTo(state));
+    AttemptMonitor monitor = new AttemptMonitor(state, attempt, () -> !ended && attempt == current);
     if (state.route().isRepeatable()) {
-      watch.onSilence(plan.remainingMillis() / SILENT_PART, () -> silent(attempt));
+      monitor.onSilence(plan.remainingMillis() / MAX_SILENCE_DIVISOR, () -> onSilent(attempt));
     }
     if (weights != null) {
-      watch.onOutdatedWeights(() -> isOutdated(weights));
+      monitor.onOutdatedWeights(() -> isOutdated(weights));
     }
   }
 
-  private void begun(QueueForecast.Place place, long sentAtMillis) {
+  private void onFirstEvent(QueueForecast.Place place, long sentAtMillis) {
     place.begin();
-    path.waits().begun(state, sentAtMillis);
+    path.waits().recordFirstEvent(state, sentAtMillis);
     path.workChanged();
   }
 
-  /** The request is sent again only where it may run twice and the budget allows it. */
-  private void silent(Attempt attempt) {
+  /**
+   * Retries the request elsewhere, if it is safe to run it twice and the retry budget allows it.
+   */
+  private void onSilent(Attempt attempt) {
     if (hasResumePoint(attempt) && mayRetryAfterAnotherRun()) {
-      leaveSilent(attempt);
+      abandonSilent(attempt);
     }
   }
 
@@ -198,19 +210,19 @@
 
   private boolean mayRetryAfterAnotherRun() {
     return state.possibleRuns + 1 < state.route().maxAttempts()
-        && path.hasUntried(state)
+        && path.hasUntriedBackend(state)
         && path.budget().tryRetry(state.pool, path.nowMillis());
   }
 
-  private void leaveSilent(Attempt attempt) {
+  private void abandonSilent(Attempt attempt) {
     Logger.info(
         "event=connection-silent request={} backend={} millis={}",
         state.request.id(),
         attempt.target().backend().id(),
         attempt.silentMillis());
     attempt.cancel();
-    notes.lost(attempt, LostAttempt.Loss.SILENT);
-    leaveQueue(false);
+    reporter.onLost(attempt, LostAttempt.Loss.SILENT);
+    removeFromQueue(false);
     attempt.target().health().failed(path.nowMillis());
     path.client().forget(attempt.target().backend().address());
     path.report(attempt.target(), AttemptResult.FAILED);
@@ -223,31 +235,34 @@
     return model != null && path.decider().isOutdated(model, weights, path.nowMillis());
   }
 
-  /** Cached prompts of an isolated tenant are not shared with others. */
+  /**
+   * Returns the name of the tenant if it is isolated, so that it shares no cached prompts with
+   * others; null otherwise.
+   */
   private @Nullable String isolatedTenant() {
     Tenant tenant = state.tenant;
     return tenant != null && tenant.isolated() ? tenant.name() : null;
   }
 
-  private void concluded(Attempt attempt, AttemptResult result) {
+  private void onConcluded(Attempt attempt, AttemptResult result) {
     if (ended || attempt != current) {
       return;
     }
-    leaveQueue(result == AttemptResult.COMPLETE);
-    notes.concluded(attempt, result);
+    removeFromQueue(result == AttemptResult.COMPLETE);
+    reporter.onConcluded(attempt, result);
     switch (result) {
       case COMPLETE -> {
         path.quarantine().answered(state.request, state.caller());
         end(RequestPath.COMPLETE);
       }
-      case WITHDRAWN -> afterWithdrawn(attempt);
-      case NOT_SENT -> afterNotSent(attempt);
-      case NOT_RUN, MISDIRECTED -> afterNotRun(attempt);
-      default -> afterFailure(attempt, result);
+      case WITHDRAWN -> onWithdrawn(attempt);
+      case NOT_SENT -> onNotSent(attempt);
+      case NOT_RUN, MISDIRECTED -> onNotRun(attempt);
+      default -> onFailure(attempt, result);
     }
   }
 
-  private void leaveQueue(boolean served) {
+  private void removeFromQueue(boolean served) {
     QueueForecast.Place place = queued;
     if (place != null && served) {
       place.begin();
@@ -256,8 +271,11 @@
     }
   }
 
-  /** Where all are at their limits, to ask one after the other takes time from those that run. */
-  private void afterWithdrawn(Attempt attempt) {
+  /**
+   * Tries another backend a few times only: once all backends are at their limits, asking each in
+   * turn takes time from the requests that run.
+   */
+  private void onWithdrawn(Attempt attempt) {
     state.withdrawals++;
     if (state.withdrawals < MAX_WITHDRAWALS) {
       attempt();
@@ -266,7 +284,7 @@
     }
   }
 
-  private void afterNotSent(Attempt attempt) {
+  private void onNotSent(Attempt attempt) {
     state.connectFailures++;
     if (state.connectFailures < MAX_CONNECT_FAILURES) {
       attempt();
@@ -275,7 +293,7 @@
     }
   }
 
-  private void afterNotRun(Attempt attempt) {
+  private void onNotRun(Attempt attempt) {
     if (mayRetry()) {
       attempt();
     } else {
@@ -283,16 +301,19 @@
     }
   }
 
-  private void afterFailure(Attempt attempt, AttemptResult result) {
+  private void onFailure(Attempt attempt, AttemptResult result) {
     state.possibleRuns++;
     if (state.route().isRepeatable() && hasResumePoint(result) && mayRetry()) {
       attempt();
     } else {
-      giveUp(attempt.failure(), attempt.ownFailureReply());
+      giveUp(attempt.failure(), attempt.backendFailureReply());
     }
   }
 
-  /** A stream can only be continued after an event that has an id. */
+  /**
+   * Returns whether the answer can be started over or resumed: a stream can only be resumed after
+   * an event that has an id.
+   */
   private boolean hasResumePoint(AttemptResult result) {
     return result != AttemptResult.BROKEN_OFF || state.lastEventId != null;
   }
@@ -302,31 +323,31 @@
         && path.budget().tryRetry(state.pool, path.nowMillis());
   }
 
-  private void giveUp(String reason, @Nullable HttpReply ownFailure) {
+  private void giveUp(String reason, @Nullable HttpReply backendFailure) {
     if (state.answerStarted) {
       state.exchange.abort();
       end("broken-off");
-    } else if (ownFailure != null) {
-      state.exchange.reply(ownFailure);
+    } else if (backendFailure != null) {
+      state.exchange.reply(backendFailure);
       end("backend-error");
     } else if (state.possibleRuns > 0) {
-      refuse(Refusal.of(RefusalKind.BACKEND_FAILED, "The back end failed: " + reason + "."));
+      refuse(Refusal.of(RefusalKind.BACKEND_FAILED, "The backend failed: " + reason + "."));
     } else {
       refuse(
           new Refusal(
               RefusalKind.UNAVAILABLE,
               "The request was not run: " + reason + ".",
-              comeBackMillis == null ? path.comeBackMillis(state) : comeBackMillis));
+              retryAfterMillis == null ? path.retryAfterMillis(state) : retryAfterMillis));
     }
   }
 
-  private void timedOut() {
+  private void onTimeout() {
     if (ended) {
       return;
     }
     Attempt attempt = current;
     if (attempt != null && attempt.cancel()) {
-      notes.lost(attempt, LostAttempt.Loss.GIVEN_UP);
+      reporter.onLost(attempt, LostAttempt.Loss.GIVEN_UP);
       path.workChanged();
       state.possibleRuns++;
       attempt.target().health().failed(path.nowMillis());
@@ -335,20 +356,20 @@
       state.exchange.abort();
       end("timed-out");
     } else if (state.possibleRuns == 0) {
-      giveUp("its time ran out", null);
+      giveUp("its deadline passed", null);
     } else {
-      refuse(Refusal.of(RefusalKind.TIMED_OUT, "The request's time ran out."));
+      refuse(Refusal.of(RefusalKind.TIMED_OUT, "The request timed out."));
     }
   }
 
-  private void callerLeft() {
+  private void onCallerDisconnected() {
     if (ended) {
       return;
     }
     Attempt attempt = current;
     if (attempt != null) {
       if (attempt.cancel()) {
-        notes.lost(attempt, LostAttempt.Loss.GIVEN_UP);
+        reporter.onLost(attempt, LostAttempt.Loss.GIVEN_UP);
       }
       path.workChanged();
     }
@@ -357,16 +378,16 @@
 
   private void refuse(Refusal refusal) {
     state.exchange.reply(path.render(refusal));
-    if (refusal.kind().isNotRun()) {
-      path.notRun(state);
+    if (refusal.kind().guaranteesNotRun()) {
+      path.onNotRun(state);
     }
     end(refusal.kind().name());
   }
 
   private void end(String outcome) {
     ended = true;
-    leaveQueue(false);
-    notes.ended();
+    removeFromQueue(false);
+    reporter.onRequestEnded();
     if (timeout != null) {
       timeout.cancel(false);
     }
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestFilter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestFilter.java
@@ -2,9 +2,13 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** One check of a request before it is sent anywhere. */
+/** A check of a request before it is sent to any backend. */
 interface RequestFilter {
 
-  /** Completes the state of a request, or returns why it is refused. */
+  /**
+   * Applies the check. It may add to the state of the request.
+   *
+   * @return the refusal, or null if the request may proceed
+   */
   @Nullable Refusal apply(RequestState state);
 }
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestLimits.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestLimits.java
@@ -3,12 +3,13 @@
 import java.time.Duration;
 
 /**
- * Bounds that the request path keeps.
+ * Limits that the request path enforces.
  *
- * @param retryRatio most repeated sends a request
- * @param retryAllowance repeated sends in a window whatever the number of requests
+ * @param retryRatio maximum number of retries per request
+ * @param retryAllowance number of retries that are allowed in each window regardless of the number
+ *     of requests
  * @param retryWindow length of that window
- * @param maxKeyProofAge age of the configuration from which on keys are no longer trusted
+ * @param maxKeyProofAge age of the configuration beyond which keys are no longer trusted
  * @param startWait longest time for which a request waits for a node that has just started
  */
 public record RequestLimits(
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestPath.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestPath.java
@@ -36,15 +36,15 @@
 import org.tinylog.Logger;
 
 /**
- * The path of a request: it is read, passes the filters, and is then tried at back ends until it
- * has its answer.
+ * Handles a request: reads it, applies the filters, and then tries backends until the request has
+ * its answer.
  */
 public final class RequestPath implements HttpHandler {
 
-  /** Outcome of a request whose whole answer was passed on. */
+  /** Outcome of a request whose complete answer was forwarded. */
   static final String COMPLETE = "complete";
 
-  /** How often a request that waits for the start looks whether it may go on. */
+  /** Interval at which a request that waits for the node to start checks whether it may proceed. */
   private static final long START_CHECK_MILLIS = 15;
 
   private final GatewayBlackboard blackboard;
@@ -54,7 +54,7 @@
   private final PlacementService placements;
   private final PlacementDecider decider;
   private final Quarantine quarantine;
-  private final LifeWatch lives;
+  private final LifeWatch incarnations;
   private final BackendRates rates;
   private final BackendStatements statements;
   private final String zone;
@@ -68,26 +68,26 @@
   private final PoolWaits waits;
   private final TenantLimitStep tenantLimits;
   private final AtomicInteger openRequests = new AtomicInteger();
-  private final RequestCounter ended = new RequestCounter();
+  private final RequestCounter endedRequests = new RequestCounter();
 
   /**
    * Creates the path.
    *
-   * @param blackboard what the node believes
+   * @param blackboard current state of the node
    * @param callerProtocol protocol of callers
-   * @param backendProtocol protocol of back ends
-   * @param client sends requests
-   * @param limits bounds that the path keeps
-   * @param nodes tells the number of nodes of the deployment
-   * @param limiter keeps tenants to their limits
-   * @param placements tells where requests are served
-   * @param decider what this node believes itself
-   * @param quarantine tells which requests are held back
-   * @param lives told of requests that were not meant for whoever answered
-   * @param rates what is known of the rates that back ends name
-   * @param statements takes in what answers say of leavings and rests
+   * @param backendProtocol protocol of backends
+   * @param client HTTP client for requests to backends
+   * @param limits limits that the path enforces
+   * @param nodes supplies the number of nodes of the deployment
+   * @param limiter enforces the limits of tenants
+   * @param placements chooses backends for requests
+   * @param decider placement state of this node, used to check the age of weights
+   * @param quarantine knows which requests are quarantined
+   * @param incarnations notified of requests that reached another incarnation than intended
+   * @param rates rate limits that backends advertise
+   * @param statements receives what answers announce about draining and backoff
    * @param zone zone of the node
-   * @param observer told of the progress of attempts
+   * @param observer notified of the progress of attempts
    * @param time clock
    */
   public RequestPath(
@@ -101,7 +101,7 @@
       PlacementService placements,
       PlacementDecider decider,
       Quarantine quarantine,
-      LifeWatch lives,
+      LifeWatch incarnations,
       BackendRates rates,
       BackendStatements statements,
       String zone,
@@ -114,7 +114,7 @@
     this.placements = placements;
     this.decider = decider;
     this.quarantine = quarantine;
-    this.lives = lives;
+    this.incarnations = incarnations;
     this.rates = rates;
     this.statements = statements;
     this.zone = zone;
@@ -142,13 +142,14 @@
 
   /** Returns the requests that have ended so far, by outcome. */
   public Map<String, Long> endedByOutcome() {
-    return ended.totals();
+    return endedRequests.totals();
   }
 
   @Override
   public void handle(HttpExchange exchange) {
     if (exchange.disconnected().isDone()) {
-      // It left while it waited for the start; servers that run its request would work in vain.
+      // The caller disconnected while it waited for the start; running its request would be wasted
+      // work.
       return;
     }
     if (isStarting() && ageMillis(exchange) < startWaitMillis) {
@@ -160,7 +161,10 @@
     serve(exchange);
   }
 
-  /** A node that has just started knows in a moment what it needs. */
+  /**
+   * Returns whether the node still lacks its initial configuration, backends or suspects; they
+   * arrive shortly after the start.
+   */
   private boolean isStarting() {
     return !blackboard.configuration().value().isKnown()
         || blackboard.backends().value().all().isEmpty()
@@ -229,11 +233,11 @@
     return quarantine;
   }
 
-  LifeWatch lives() {
-    return lives;
+  LifeWatch incarnations() {
+    return incarnations;
   }
 
-  LifeEvidence lifeEvidence() {
+  LifeEvidence livenessEvidence() {
     return quarantine.lives();
   }
 
@@ -245,32 +249,44 @@
     return statements;
   }
 
-  /** Returns whether a back end of the request's pool was not tried yet. */
-  boolean hasUntried(RequestState state) {
+  /**
+   * Returns whether the pool of the request has a serving backend that was not tried yet and has
+   * not requested a backoff.
+   */
+  boolean hasUntriedBackend(RequestState state) {
     return blackboard.backends().value().ofPool(state.pool).stream()
         .filter(tracked -> tracked.isServing() && !tracked.rest().isOn(nowMillis()))
         .anyMatch(tracked -> !state.triedBackends.contains(tracked.backend().id()));
   }
 
   /**
-   * Returns the connections that this node may have open to a back end of a request's pool: its
-   * part of those that the back end takes from all nodes together, as it resets what is beyond.
+   * Returns the maximum number of connections that this node may have open to a backend of the
+   * request's pool: its share of those that the backend accepts from all nodes together, as the
+   * backend resets further ones.
    */
-  int mostConnections(RequestState state) {
-    int all =
+  int maxConnectionsTo(RequestState state) {
+    int poolLimit =
         state.configuration.pool(state.pool).map(Pool::maxConnections).orElse(Integer.MAX_VALUE);
-    return Math.max(1, all / Math.max(1, nodes.getAsInt()));
+    return Math.max(1, poolLimit / Math.max(1, nodes.getAsInt()));
   }
 
-  /** Returns when a caller whom no back end serves now is to come back, in milliseconds. */
-  long comeBackMillis(RequestState state) {
-    long queued = waits.comeBackMillis(state);
-    long rest = restMillis(state.pool);
-    return rest == 0 ? queued : Math.max(queued, rates.comeBackMillis(state.pool, List.of(), rest));
+  /**
+   * Returns the time after which a caller that no backend can serve now should retry, in
+   * milliseconds.
+   */
+  long retryAfterMillis(RequestState state) {
+    long queued = waits.retryAfterMillis(state);
+    long backoff = backoffMillis(state.pool);
+    return backoff == 0
+        ? queued
+        : Math.max(queued, rates.comeBackMillis(state.pool, List.of(), backoff));
   }
 
-  /** Returns the time until the first back end of a pool has rested; 0 if one does not rest. */
-  private long restMillis(String pool) {
+  /**
+   * Returns the time until the first backend of a pool ends its backoff, in milliseconds; 0 if any
+   * backend is not in a backoff or the pool has none.
+   */
+  private long backoffMillis(String pool) {
     long now = nowMillis();
     return blackboard.backends().value().ofPool(pool).stream()
         .filter(TrackedBackend::isServing)
@@ -284,12 +300,12 @@
     return zone;
   }
 
-  /** Notes that a request has begun to be answered or has ended. */
+  /** Notifies the observer that a request has started to be answered or has ended. */
   void workChanged() {
     observer.workChanged();
   }
 
-  /** Tells the relays what an attempt showed of its back end. */
+  /** Reports to the observer what an attempt shows about its backend. */
   void report(TrackedBackend target, AttemptResult result) {
     AttemptVerdict verdict =
         switch (result) {
@@ -297,9 +313,10 @@
           case NOT_SENT -> AttemptVerdict.UNREACHABLE;
           case FAILED, BROKEN_OFF -> AttemptVerdict.FAILED;
           case NOT_RUN -> AttemptVerdict.REJECTED;
-          // Nothing was sent, so nothing was shown.
+          // Nothing was sent, so nothing is known about the backend.
           case WITHDRAWN -> null;
-          // The mistake may be this node's own: it says nothing of the back end to others.
+          // This node may have been wrong about the incarnation or weights, so no verdict is
+          // reported to other nodes.
           case MISDIRECTED -> null;
         };
     if (verdict == null) {
@@ -313,14 +330,14 @@
     return callerProtocol.render(refusal);
   }
 
-  /** Notes that no back end has run a request or ever will. */
-  void notRun(RequestState state) {
+  /** Must be called when no backend has run the request or ever will. */
+  void onNotRun(RequestState state) {
     tenantLimits.giveBack(state);
   }
 
   void ended(RequestState state, String outcome) {
     openRequests.decrementAndGet();
-    ended.ended(outcome);
+    endedRequests.ended(outcome);
     boolean late = state.route != null && state.isLateStream();
     if (late || !outcome.equals(COMPLETE)) {
       Logger.info(
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestState.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestState.java
@@ -11,19 +11,23 @@
 import org.lockdale.gateway.placement.PromptPlacement;
 import org.lockdale.http.HttpExchange;
 
-/** Everything known of one request on its way. Lives on the event loop of its connection. */
+/**
+ * Mutable state of one request while it is processed. Confined to the event loop of the caller's
+ * connection.
+ */
 final class RequestState {
 
-  /** Rank of a request that goes behind all others. */
-  private static final int LAST_PRIORITY = 9;
+  /** Priority of a deferred request, behind all others. */
+  private static final int LOWEST_PRIORITY = 9;
 
-  /** Part of the latency objective for which a request may wait before it is sent. */
-  private static final int WAITING_PART = 2;
+  /** A request may wait to be sent for the latency objective divided by this. */
+  private static final int MAX_WAIT_DIVISOR = 2;
 
   /**
-   * Callers wait for eight pauses of the objective at least; half of that is left for the answer.
+   * Number of gap objectives for which a request whose answer has started may wait to be sent
+   * again. Callers wait for at least eight; the other half is left for the answer.
    */
-  private static final int WAITING_GAPS = 4;
+  private static final int MAX_WAIT_GAPS = 4;
 
   final HttpExchange exchange;
   final CallerRequest request;
@@ -34,54 +38,57 @@
 
   final @Nullable PromptPlacement prompt;
 
-  /** Set by the route filter, before any attempt. */
+  /** The matching route; null until the route filter has run, which is before any attempt. */
   @Nullable Route route;
 
-  /** Pool of the route that was chosen for this request. */
+  /** Name of the pool chosen among those of the route; empty until it is chosen. */
   String pool = "";
 
   @Nullable Tenant tenant;
 
-  /** What the request counts in its tenant's limit, or null where there is none. */
+  /** Amount that the request consumed of its tenant's limit; null if there is no limit. */
   Admission.@Nullable Granted granted;
 
-  /** Attempts after which the back end may have run the request. */
+  /** Number of attempts after which the backend may have run the request. */
   int possibleRuns;
 
-  /** Attempts that reached a back end. */
+  /** Number of attempts that reached a backend. */
   int sends;
 
   int connectFailures;
 
-  /** Attempts that were taken back before a byte left. */
+  /** Number of attempts that were withdrawn before any byte was sent. */
   int withdrawals;
 
-  /** Id of the last event that was passed on, or what the caller holds already. */
+  /**
+   * Id of the last event forwarded to the caller. Initially the last one that the caller reports to
+   * have received; null if none.
+   */
   @Nullable String lastEventId;
 
   boolean answerStarted;
 
   /**
-   * Whether it goes behind all others, since it would be late in its turn and would make others
-   * late as well.
+   * Whether the request gets the lowest priority, because it would miss its latency objective and
+   * make others miss theirs.
    */
   boolean deferred;
 
-  /** Prompt tokens that waited at the chosen engine before it. */
+  /** Prompt tokens queued at the chosen engine ahead of this request. */
   long waitingTokens;
 
-  /** Tokens of shared parts that the chosen engine lacks and nobody is known to have. */
+  /** Tokens of shared prompt parts that the chosen engine lacks and no engine is known to have. */
   long sharedTokensToCompute;
 
-  /** When the answer began, in milliseconds after the arrival; -1 before that. */
+  /** Time from arrival to the first event of the answer, in milliseconds; -1 before it. */
   long firstEventMillis = -1;
 
-  /** When the latest event was passed on, by the monotonic clock. */
+  /** Monotonic time at which the latest event was forwarded. */
   long latestEventAtMillis;
 
   long longestGapMillis;
 
-  /** Back end of the latest attempt. */
+  /** Id of the backend of the latest attempt; empty before the first one. */
   String backend = "";
 
   RequestState(
@@ -100,28 +107,37 @@
         request.promptParts().isEmpty() ? null : PromptPlacement.of(request.promptParts());
   }
 
-  /** Returns the prompt tokens that the chosen engine probably has to compute. */
+  /**
+   * Returns the estimated number of prompt tokens that the chosen engine has to compute for this
+   * request.
+   */
   long computedTokens() {
     return prompt == null ? 0 : prompt.ownTokens() + sharedTokensToCompute;
   }
 
-  /** Returns the prompt tokens that the chosen engine computes before its first event. */
+  /**
+   * Returns the number of prompt tokens that the chosen engine computes before it sends the first
+   * event of this request.
+   */
   long tokensUntilFirstEvent() {
     return waitingTokens + computedTokens();
   }
 
-  /** Returns the tokens that others have to wait for at the chosen engine. */
+  /**
+   * Returns the number of tokens that this request adds to the queue of the chosen engine; 0 if it
+   * is deferred.
+   */
   long queuedTokens() {
     return deferred ? 0 : computedTokens();
   }
 
-  /** Returns all tokens of the prompt. */
+  /** Returns the total number of prompt tokens; 0 if the request has no prompt. */
   long promptTokens() {
     return prompt == null ? 0 : prompt.tokens();
   }
 
-  /** Notes that an event was passed on. */
-  void eventPassed(long nowMillis) {
+  /** Records that an event was forwarded to the caller. */
+  void recordEvent(long nowMillis) {
     if (firstEventMillis < 0) {
       firstEventMillis = nowMillis - arrivedAtMillis;
     } else {
@@ -130,53 +146,62 @@
     latestEventAtMillis = nowMillis;
   }
 
-  /** Returns whether a stream missed an objective of its route. */
+  /** Returns whether a stream missed the latency or gap objective of its route. */
   boolean isLateStream() {
     return firstEventMillis > route().latencyObjective().toMillis()
         || longestGapMillis > route().gapObjective().toMillis();
   }
 
-  /** Returns who sent the request: the tenant, or the key where there is none. */
+  /**
+   * Returns the name of the tenant, or the key if the tenant is unknown; empty if there is neither.
+   */
   String caller() {
-    Tenant known = tenant;
+    Tenant knownTenant = tenant;
     String key = request.key();
-    return known != null ? known.name() : key == null ? "" : key;
+    return knownTenant != null ? knownTenant.name() : key == null ? "" : key;
   }
 
-  /** Returns the route; only after the route filter. */
+  /**
+   * Returns the route.
+   *
+   * @throws IllegalStateException if the route filter has not run
+   */
   Route route() {
-    Route chosen = route;
-    if (chosen == null) {
+    Route found = route;
+    if (found == null) {
       throw new IllegalStateException("the route filter has not run");
     }
-    return chosen;
+    return found;
   }
 
-  /** Returns the time at which the answer is no longer wanted, by the monotonic clock. */
-  long endsAtMillis() {
+  /** Returns the monotonic time after which the answer is no longer wanted. */
+  long deadlineAtMillis() {
     return arrivedAtMillis + Math.min(request.deadlineMillis(), route().timeout().toMillis());
   }
 
   /**
-   * Returns until when the request may wait for a back end that takes more in a moment, by the
-   * monotonic clock. What is left of the objective is for the answer.
+   * Returns the monotonic time until which the request may wait for a backend that is at its rate
+   * limit. The rest of the objective is left for the answer.
    */
-  long waitsUntilMillis() {
+  long waitDeadlineMillis() {
     return answerStarted
-        ? latestEventAtMillis + route().gapObjective().toMillis() * WAITING_GAPS
-        : arrivedAtMillis + route().latencyObjective().toMillis() / WAITING_PART;
+        ? latestEventAtMillis + route().gapObjective().toMillis() * MAX_WAIT_GAPS
+        : arrivedAtMillis + route().latencyObjective().toMillis() / MAX_WAIT_DIVISOR;
   }
 
   /**
-   * Returns the rank at the back end: that of the request, or the last one where it is deferred.
+   * Returns the priority sent to the backend: the lowest one if the request is deferred, else its
+   * configured one.
    */
   int priority() {
-    return deferred ? LAST_PRIORITY : ownPriority();
+    return deferred ? LOWEST_PRIORITY : configuredPriority();
   }
 
-  /** Returns the rank of the request; a tenant's takes precedence over its route's. */
-  int ownPriority() {
-    Tenant caller = tenant;
-    return caller == null || caller.priority() == null ? route().priority() : caller.priority();
+  /** Returns the priority of the tenant, or that of the route if the tenant has none. */
+  int configuredPriority() {
+    Tenant knownTenant = tenant;
+    return knownTenant == null || knownTenant.priority() == null
+        ? route().priority()
+        : knownTenant.priority();
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/request/RouteFilter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RouteFilter.java
@@ -8,7 +8,10 @@
 /** Finds the route of a request. */
 final class RouteFilter implements RequestFilter {
 
-  /** An unknown route may be one that this node has not heard of, if it has heard nothing since. */
+  /**
+   * Age of the configuration beyond which an unknown route may be one that was added since; it is
+   * then refused as temporary only.
+   */
   private static final long MAX_AGE_TO_DENY_MILLIS = 2_000;
 
   private static final long RETRY_AFTER_MILLIS = 300;
@@ -18,7 +21,7 @@
   /**
    * Creates a filter.
    *
-   * @param controlPaths tells of a path whether it leads to a back end's own interface
+   * @param controlPaths whether a path belongs to the control interface of backends
    */
   RouteFilter(Predicate<String> controlPaths) {
     this.controlPaths = controlPaths;
@@ -43,7 +46,10 @@
     return denial(state, RefusalKind.NO_ROUTE, "No route has this host and path.");
   }
 
-  /** Refuses for good only on a configuration that is known to be current. */
+  /**
+   * Returns a final refusal if the configuration is known to be current, and a temporary one
+   * otherwise.
+   */
   static Refusal denial(RequestState state, RefusalKind kind, String message) {
     if (state.configurationAgeMillis > MAX_AGE_TO_DENY_MILLIS) {
       return new Refusal(
--- a/gateway/src/main/java/org/lockdale/gateway/request/StreamRelay.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/StreamForwarder.java
@@ -6,13 +6,13 @@
 import org.lockdale.http.ServerSentEventDecoder;
 
 /**
- * Passes a stream on to the caller, whole events only, so that a stream which breaks within an
- * event can be continued by another back end. The answer's head is sent with the first event; until
- * then the request can still be answered otherwise.
+ * Forwards a stream to the caller in whole events only, so that another backend can continue a
+ * stream that breaks within an event. The head of the answer is sent with the first event; until
+ * then the request can still be answered differently.
  */
-final class StreamRelay {
+final class StreamForwarder {
 
-  /** Bytes that may wait for a caller that does not read. */
+  /** Maximum number of bytes that are buffered for a caller that does not read. */
   private static final long MAX_QUEUED_BYTES = 1024 * 1024;
 
   private final RequestState state;
@@ -22,14 +22,14 @@
   private final long resumedAfter;
   private boolean begun;
 
-  StreamRelay(RequestState state, AnswerHead head, Time time) {
+  StreamForwarder(RequestState state, AnswerHead head, Time time) {
     this.state = state;
     this.time = time;
     this.head = head;
-    this.resumedAfter = state.answerStarted ? numberOf(state.lastEventId) : Long.MIN_VALUE;
+    this.resumedAfter = state.answerStarted ? parseEventId(state.lastEventId) : Long.MIN_VALUE;
   }
 
-  private static long numberOf(String eventId) {
+  private static long parseEventId(String eventId) {
     return Long.parseLong(eventId);
   }
 
@@ -42,7 +42,7 @@
 
   private void onEvent(long id, ByteBuf event) {
     begun = true;
-    state.eventPassed(time.monotonicMillis());
+    state.recordEvent(time.monotonicMillis());
     boolean repeated = id != ServerSentEventDecoder.NO_ID && id <= resumedAfter;
     if (repeated) {
       return;
@@ -65,17 +65,17 @@
     }
   }
 
-  /** Returns whether any event has come. */
+  /** Returns whether any event was received. */
   boolean hasBegun() {
     return begun;
   }
 
-  /** Returns whether too much waits for the caller. */
+  /** Returns whether too many bytes are buffered for the caller. */
   boolean isCallerTooSlow() {
     return state.exchange.queuedBytes() > MAX_QUEUED_BYTES;
   }
 
-  /** Ends the answer as complete. */
+  /** Completes the answer, with the rest of the stream that is no whole event. */
   void end() {
     ByteBuf rest = decoder.remainder();
     if (rest.isReadable()) {
--- a/gateway/src/main/java/org/lockdale/gateway/request/TenantFilter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/TenantFilter.java
@@ -4,7 +4,10 @@
 import org.jspecify.annotations.Nullable;
 import org.lockdale.gateway.configuration.Tenant;
 
-/** Finds the tenant that holds a request's key. A key is trusted while its proof is fresh. */
+/**
+ * Finds the tenant of a request by its key. Refuses keys while the configuration is too old to tell
+ * whether they were revoked.
+ */
 final class TenantFilter implements RequestFilter {
 
   private static final long RETRY_AFTER_MILLIS = 300;
@@ -14,8 +17,8 @@
   /**
    * Creates a filter.
    *
-   * @param maxProofAgeMillis age of the configuration from which on a key may have been revoked for
-   *     too long
+   * @param maxProofAgeMillis age of the configuration beyond which a key is no longer trusted, in
+   *     milliseconds
    */
   TenantFilter(long maxProofAgeMillis) {
     this.maxProofAgeMillis = maxProofAgeMillis;
@@ -35,7 +38,7 @@
     if (state.configurationAgeMillis > maxProofAgeMillis) {
       return new Refusal(
           RefusalKind.NOT_CONFIGURED,
-          "This node can't tell at present whether the key is still valid; try again.",
+          "This node cannot currently verify whether the key is still valid; try again.",
           RETRY_AFTER_MILLIS);
     }
     state.tenant = tenant.get();
--- a/gateway/src/main/java/org/lockdale/gateway/request/TenantLimitStep.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/TenantLimitStep.java
@@ -8,12 +8,13 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps requests back that lie beyond their tenants' limits. Follows the filters, since the answer
- * may come from another node. Requests without a limit go on at once.
+ * Refuses requests that exceed the limits of their tenants. Runs after the filters, since the
+ * decision may have to be requested from another node. Requests without a limit proceed
+ * immediately.
  */
 final class TenantLimitStep {
 
-  /** A relay that answers no question is replaced within about this time. */
+  /** A limit relay that does not answer is replaced within about this time. */
   private static final long UNKNOWN_RETRY_AFTER_MILLIS = 300;
 
   private final TenantLimiter limiter;
@@ -23,11 +24,11 @@
   }
 
   /**
-   * Lets a request go on or refuses it, on the event loop of its caller's connection.
+   * Admits or refuses a request, on the event loop of the caller's connection.
    *
    * @param state the request, after the filters
-   * @param onAdmitted run where it may go on
-   * @param onRefused told of the refusal where it may not
+   * @param onAdmitted run if the request may proceed
+   * @param onRefused receives the refusal otherwise
    */
   void apply(RequestState state, Runnable onAdmitted, Consumer<Refusal> onRefused) {
     Tenant tenant = state.tenant;
@@ -40,11 +41,11 @@
     limiter
         .admit(tenant.name(), limit, amount)
         .thenAcceptAsync(
-            admission -> decided(state, admission, onAdmitted, onRefused),
+            admission -> complete(state, admission, onAdmitted, onRefused),
             state.exchange.eventLoop());
   }
 
-  private static void decided(
+  private static void complete(
       RequestState state, Admission admission, Runnable onAdmitted, Consumer<Refusal> onRefused) {
     if (admission instanceof Admission.Granted granted) {
       state.granted = granted;
@@ -58,18 +59,18 @@
       onRefused.accept(
           new Refusal(
               RefusalKind.BEYOND_LIMIT,
-              "The tenant is beyond its limit; come back after the time given.",
+              "The tenant exceeds its limit; retry after the given time.",
               beyond.retryAfterMillis()));
     } else {
       onRefused.accept(
           new Refusal(
               RefusalKind.UNAVAILABLE,
-              "No node could tell whether the tenant is within its limit; try again.",
+              "No node could determine whether the tenant is within its limit; try again.",
               UNKNOWN_RETRY_AFTER_MILLIS));
     }
   }
 
-  /** Gives back what a request counted that was not run and never will be. */
+  /** Returns to the limit what a request consumed that was not run and never will be. */
   void giveBack(RequestState state) {
     Admission.Granted granted = state.granted;
     if (granted != null) {
--- a/gateway/src/main/java/org/lockdale/gateway/request/WaitEstimate.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/WaitEstimate.java
@@ -1,54 +1,56 @@
 package org.lockdale.gateway.request;
 
 /**
- * Learns how long a request waits for its first event from the prompt tokens that are before it,
- * its own included: one figure for each rank, since a more urgent request passes others. Nothing is
- * predicted before enough answers were seen. No I/O; safe for use by several threads.
+ * Estimates the time to the first event of a request from the number of prompt tokens to be
+ * computed before it, its own included. Learns one value for each priority, since more urgent
+ * requests overtake others. Predicts nothing before it has seen enough answers. Performs no I/O.
+ * Thread-safe.
  */
 public final class WaitEstimate {
 
-  /** Requests with fewer tokens before them tell of the network rather than of the engine. */
-  private static final long LEAST_TOKENS = 8_000;
+  /** Below this number of tokens the time is dominated by the network rather than the engine. */
+  private static final long MIN_TOKENS = 8_000;
 
-  private static final int LEAST_ANSWERS = 10;
+  private static final int MIN_ANSWERS = 10;
 
-  /** Weight of the newest answer. */
+  /** Weight of the newest answer in the moving average. */
   private static final double NEWEST_WEIGHT = 0.1;
 
-  private static final int RANKS = 10;
+  private static final int PRIORITIES = 10;
 
-  private final double[] millisPerToken = new double[RANKS];
-  private final int[] answers = new int[RANKS];
+  private final double[] millisPerToken = new double[PRIORITIES];
+  private final int[] answers = new int[PRIORITIES];
 
   /**
-   * Takes in an answer.
+   * Records an answer. Ignored if the priority is out of range or the tokens are too few to be
+   * significant.
    *
-   * @param rank rank of the request, 0 the most urgent
+   * @param priority priority of the request, 0 is the most urgent
    * @param tokens prompt tokens that had to be computed before its first event
-   * @param millis time from its sending to its first event
+   * @param millis time from sending it to its first event, in milliseconds
    */
-  public synchronized void observe(int rank, long tokens, long millis) {
-    if (tokens < LEAST_TOKENS || !isKnownRank(rank)) {
+  public synchronized void observe(int priority, long tokens, long millis) {
+    if (tokens < MIN_TOKENS || !isValidPriority(priority)) {
       return;
     }
     double sample = (double) millis / tokens;
-    double weight = Math.max(NEWEST_WEIGHT, 1.0 / (answers[rank] + 1));
-    millisPerToken[rank] += (sample - millisPerToken[rank]) * weight;
-    answers[rank]++;
+    double weight = Math.max(NEWEST_WEIGHT, 1.0 / (answers[priority] + 1));
+    millisPerToken[priority] += (sample - millisPerToken[priority]) * weight;
+    answers[priority]++;
   }
 
   /**
-   * Predicts the time to the first event, in milliseconds; 0 where too little is known.
+   * Returns the predicted time to the first event, in milliseconds; 0 if too little is known.
    *
-   * @param rank rank of the request
+   * @param priority priority of the request, 0 is the most urgent
    * @param tokens prompt tokens that have to be computed before its first event
    */
-  public synchronized double predictMillis(int rank, long tokens) {
-    boolean known = isKnownRank(rank) && answers[rank] >= LEAST_ANSWERS;
-    return known && tokens >= LEAST_TOKENS ? millisPerToken[rank] * tokens : 0;
+  public synchronized double predictMillis(int priority, long tokens) {
+    boolean isPredictable = isValidPriority(priority) && answers[priority] >= MIN_ANSWERS;
+    return isPredictable && tokens >= MIN_TOKENS ? millisPerToken[priority] * tokens : 0;
   }
 
-  private static boolean isKnownRank(int rank) {
-    return rank >= 0 && rank < RANKS;
+  private static boolean isValidPriority(int priority) {
+    return priority >= 0 && priority < PRIORITIES;
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/request/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/package-info.java
@@ -1,4 +1,4 @@
-/** The path of one request: filters, attempts, the answer. */
+/** Request processing: filters, attempts at backends, and the answer to the caller. */
 @NullMarked
 package org.lockdale.gateway.request;
 
--- a/gateway/src/test/java/org/lockdale/gateway/request/QueueForecastTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/request/QueueForecastTest.java
@@ -9,13 +9,13 @@
 import org.lockdale.coordination.time.Time;
 import org.testng.annotations.Test;
 
-/** The wait in a queue is predicted from how often one of its requests begins. */
+/** Tests that the wait in a queue is predicted from the rate at which its requests start. */
 public final class QueueForecastTest {
 
   private static final int SEEDS = 200;
   private static final int WAITING = 20;
 
-  /** A clock that a test sets. */
+  /** A clock that the test advances. */
   private static final class ManualTime implements Time {
     private long millis;
 
@@ -42,7 +42,7 @@
     return queue;
   }
 
-  /** Serves requests in order at an interval with noise; as many join as begin. */
+  /** Serves requests in order at an interval with 20% noise; one joins for each that starts. */
   private void serve(QueueForecast queue, long intervalMillis, int answers, Random random) {
     for (int answer = 0; answer < answers; answer++) {
       time.millis += Math.round(intervalMillis * (0.8 + 0.4 * random.nextDouble()));
--- a/gateway/src/test/java/org/lockdale/gateway/request/WaitEstimateTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/request/WaitEstimateTest.java
@@ -6,10 +6,10 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** Waits are predicted from what engines took, whatever their speed. */
+/** Tests that waits are predicted from observed times, for engines of any speed. */
 public final class WaitEstimateTest {
 
-  private static final int RANK = 1;
+  private static final int PRIORITY = 1;
   private static final long TOKENS = 40_000;
 
   private final Random random = new Random(1);
@@ -18,16 +18,16 @@
     for (int answer = 0; answer < answers; answer++) {
       long tokens = 10_000 + random.nextInt(60_000);
       double noise = 0.8 + 0.4 * random.nextDouble();
-      estimate.observe(RANK, tokens, (long) (tokens / tokensPerMilli * noise));
+      estimate.observe(PRIORITY, tokens, (long) (tokens / tokensPerMilli * noise));
     }
   }
 
   @Test
   public void nothingIsPredictedAtFirst() {
     WaitEstimate estimate = new WaitEstimate();
-    assertEquals(estimate.predictMillis(RANK, TOKENS), 0.0);
+    assertEquals(estimate.predictMillis(PRIORITY, TOKENS), 0.0);
     observe(estimate, 50, 9);
-    assertEquals(estimate.predictMillis(RANK, TOKENS), 0.0);
+    assertEquals(estimate.predictMillis(PRIORITY, TOKENS), 0.0);
   }
 
   @Test
@@ -36,7 +36,7 @@
       WaitEstimate estimate = new WaitEstimate();
       observe(estimate, tokensPerMilli, 30);
       double expected = TOKENS / tokensPerMilli;
-      assertEquals(estimate.predictMillis(RANK, TOKENS), expected, expected * 0.2);
+      assertEquals(estimate.predictMillis(PRIORITY, TOKENS), expected, expected * 0.2);
     }
   }
 
@@ -46,20 +46,20 @@
     observe(estimate, 60, 100);
     observe(estimate, 15, 20);
     double expected = TOKENS / 15.0;
-    assertTrue(estimate.predictMillis(RANK, TOKENS) > expected * 0.75);
+    assertTrue(estimate.predictMillis(PRIORITY, TOKENS) > expected * 0.75);
   }
 
   @Test
   public void shortWaitsTellNothingAndRanksAreKeptApart() {
     WaitEstimate estimate = new WaitEstimate();
     for (int answer = 0; answer < 50; answer++) {
-      estimate.observe(RANK, 500, 1_000);
-      estimate.observe(RANK, 0, 1_000);
+      estimate.observe(PRIORITY, 500, 1_000);
+      estimate.observe(PRIORITY, 0, 1_000);
       estimate.observe(-1, TOKENS, 1_000);
     }
-    assertEquals(estimate.predictMillis(RANK, TOKENS), 0.0);
+    assertEquals(estimate.predictMillis(PRIORITY, TOKENS), 0.0);
     observe(estimate, 50, 30);
     assertEquals(estimate.predictMillis(0, TOKENS), 0.0);
-    assertEquals(estimate.predictMillis(RANK, 500), 0.0);
+    assertEquals(estimate.predictMillis(PRIORITY, 500), 0.0);
   }
 }
