--- a/gateway/src/main/java/org/lockdale/gateway/limit/Admission.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/Admission.java
@@ -1,24 +1,24 @@
 package org.lockdale.gateway.limit;
 
-/** Whether a request lies within its tenant's limit. */
+/** Decision on whether a request is within its tenant's limit. */
 public sealed interface Admission {
 
   /**
-   * It does, and counts.
+   * The request is within the limit and consumes an amount of it.
    *
    * @param tenant name of the tenant
-   * @param amount what it counts
+   * @param amount amount that the request consumes, in the unit of the limit
    * @param usableUntilMillis monotonic time until which the amount may be used
    */
   record Granted(String tenant, double amount, long usableUntilMillis) implements Admission {}
 
   /**
-   * It lies beyond the limit.
+   * The request exceeds the limit.
    *
-   * @param retryAfterMillis time after which it may fit
+   * @param retryAfterMillis time after which the request may fit, in milliseconds
    */
   record Beyond(long retryAfterMillis) implements Admission {}
 
-  /** Nobody could be asked. */
+  /** No node could be reached that decides on limits. */
   record Unknown() implements Admission {}
 }
--- a/gateway/src/main/java/org/lockdale/gateway/limit/Allowance.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/Allowance.java
@@ -3,43 +3,52 @@
 import org.lockdale.gateway.configuration.TenantLimit;
 
 /**
- * How a tenant's limit and the headroom beyond it are used, for all nodes together. In a window,
- * capacity, reserve and what the rate gives in the window and the time for returns sum up to the
- * bound.
+ * Division of a tenant's limit and the headroom beyond it, for all nodes together. Within a window,
+ * the capacity, the reserve and the amount that the rate adds during the window and the return time
+ * sum up to the upper bound of the limit.
  *
- * @param ratePerMilli what its buckets gain in a millisecond
- * @param capacity what its buckets hold at most
- * @param reserve what nodes keep back for the loss of a relay
- * @param returnMillis time after a request was granted within which it is sent, or its amount used
- *     for another one
+ * @param ratePerMilli amount that the tenant's buckets gain per millisecond
+ * @param capacity maximum level of the tenant's buckets
+ * @param reserve amount that nodes set aside for the loss of a relay
+ * @param returnMillis time after the grant within which a request is sent, or its amount used for
+ *     another request, in milliseconds
  */
 public record Allowance(double ratePerMilli, double capacity, double reserve, long returnMillis) {
 
   private static final double MILLIS_PER_SECOND = 1_000.0;
 
   /**
-   * Parts of the headroom. Capacity beyond the burst has to hold the largest request, and buckets
-   * begin empty; the reserve has to last while a relay is replaced.
+   * Fraction of the headroom that is added to the capacity. Capacity beyond the burst has to hold
+   * the largest request, since buckets start empty.
    */
-  private static final double CAPACITY_PART = 3 / 8.0;
+  private static final double CAPACITY_FRACTION = 3 / 8.0;
 
-  private static final double RATE_PART = 1 / 8.0;
-  private static final double LATENESS_PART = 1 / 8.0;
-  private static final double RESERVE_PART = 3 / 8.0;
+  /** Fraction of the headroom that is added to the rate. */
+  private static final double RATE_FRACTION = 1 / 8.0;
 
-  /** Requests are sent or given up within this time where there is headroom enough. */
+  /** Fraction of the headroom that allows requests to be sent later than they were granted. */
+  private static final double RETURN_FRACTION = 1 / 8.0;
+
+  /** Fraction of the headroom that is set aside; it has to last while a relay is replaced. */
+  private static final double RESERVE_FRACTION = 3 / 8.0;
+
+  /**
+   * Upper bound of {@link #returnMillis}, which applies if the headroom is large enough, in
+   * milliseconds.
+   */
   static final long MAX_RETURN_MILLIS = 1_000;
 
-  /** Returns the use of a limit under a bound. */
+  /** Returns the allowance for a limit and the bound on exceeding it. */
   public static Allowance of(TenantLimit limit, LimitBound bound) {
     double windowMillis = bound.window().toMillis();
     double rate = limit.ratePerSecond() / MILLIS_PER_SECOND;
     double headroom = bound.overshoot() * (rate * windowMillis + limit.burst()) + bound.slack();
-    double returnMillis = Math.floor(Math.min(MAX_RETURN_MILLIS, headroom * LATENESS_PART / rate));
+    double returnMillis =
+        Math.floor(Math.min(MAX_RETURN_MILLIS, headroom * RETURN_FRACTION / rate));
     return new Allowance(
-        rate + headroom * RATE_PART / (windowMillis + returnMillis),
-        limit.burst() + headroom * CAPACITY_PART,
-        headroom * RESERVE_PART,
+        rate + headroom * RATE_FRACTION / (windowMillis + returnMillis),
+        limit.burst() + headroom * CAPACITY_FRACTION,
+        headroom * RESERVE_FRACTION,
         (long) returnMillis);
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/limit/Deciders.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/Deciders.java
@@ -5,26 +5,27 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Chooses the relay that decides on limits. Its buckets are what it has gathered over some time, so
- * a relay that has most shares is kept though a more senior one comes back. No two relays have more
- * than half of the shares, so that all nodes choose the same one.
+ * Selects the limit relay: the relay node that decides on limits. The level of its buckets depends
+ * on the shares that it has held over time, so a relay that holds most shares is preferred over a
+ * more senior one that has returned. At most one relay can hold more than half of the shares, so
+ * all nodes select the same one.
  */
 public final class Deciders {
 
-  private static final double MOST = 0.5;
+  private static final double MAJORITY = 0.5;
 
   private Deciders() {}
 
   /**
-   * Returns the relays in the order in which they decide.
+   * Returns the relays in the order in which they are to decide on limits.
    *
    * @param bySeniority ids of the relays, the most senior first
-   * @param share tells the shares that a relay has, from 0 to 1
+   * @param share returns the sum of the shares that a relay holds, from 0 to 1
    */
   public static List<String> inOrder(List<String> bySeniority, ToDoubleFunction<String> share) {
     List<String> order = new ArrayList<>(bySeniority);
     for (String relay : bySeniority) {
-      if (share.applyAsDouble(relay) > MOST) {
+      if (share.applyAsDouble(relay) > MAJORITY) {
         order.remove(relay);
         order.add(0, relay);
       }
--- a/gateway/src/main/java/org/lockdale/gateway/limit/LimitBound.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/LimitBound.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * How far tenants may go beyond their limits, at all nodes together.
+ * Upper bound on how far tenants may exceed their limits, at all nodes together.
  *
  * @param window sliding window in which requests are counted
- * @param overshoot share of the limit that may run beyond it
- * @param slack what may run beyond that, in the limit's unit
+ * @param overshoot allowed excess as a fraction of the limit
+ * @param slack further allowed excess, in the unit of the limit
  */
 public record LimitBound(Duration window, double overshoot, double slack) {}
--- a/gateway/src/main/java/org/lockdale/gateway/limit/RetryBudget.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/RetryBudget.java
@@ -8,10 +8,9 @@
 import java.util.function.IntSupplier;
 
 /**
- * Bounds repeated sends to each pool within a sliding window to a share of this node's own requests
- * for it, and its part of what is allowed whatever their number. Since every node keeps to its
- * part, the sum over all nodes keeps to the budget of the deployment, without a message between
- * them. Safe for use by several threads.
+ * Limits the retries at each pool within a sliding window to a fraction of this node's own requests
+ * for the pool, plus this node's share of a fixed allowance. As every node keeps to its share, all
+ * nodes together keep to the budget of the deployment without exchanging messages. Thread-safe.
  */
 public final class RetryBudget {
 
@@ -25,11 +24,17 @@
   private final long windowMillis;
   private final Map<String, PoolWindow> windows = new HashMap<>();
 
-  /** Part of the deployment's ratio that is used, since its windows and the nodes' differ. */
-  private static final double RATIO_SHARE = 0.75;
+  /**
+   * Fraction of the deployment's ratio that is used, since its windows and those of the nodes
+   * differ.
+   */
+  private static final double RATIO_FRACTION = 0.75;
 
-  /** Part of the deployment's allowance that is used, since nodes may have just come or gone. */
-  private static final double ALLOWANCE_SHARE = 0.5;
+  /**
+   * Fraction of the deployment's allowance that is used, since the number of nodes may have just
+   * changed.
+   */
+  private static final double ALLOWANCE_FRACTION = 0.5;
 
   private RetryBudget(double ratio, DoubleSupplier allowance, long windowMillis) {
     this.ratio = ratio;
@@ -38,31 +43,31 @@
   }
 
   /**
-   * Returns a budget of one node.
+   * Returns the budget of a single node.
    *
-   * @param ratio most retries a request
-   * @param allowance retries that are allowed in a window whatever the number of requests
-   * @param windowMillis length of the window
+   * @param ratio maximum number of retries per request
+   * @param allowance number of retries allowed in each window regardless of the number of requests
+   * @param windowMillis length of the window, in milliseconds
    */
   public static RetryBudget ofNode(double ratio, double allowance, long windowMillis) {
     return new RetryBudget(ratio, () -> allowance, windowMillis);
   }
 
   /**
-   * Returns a node's part of the budget of a deployment.
+   * Returns a node's share of the budget of a deployment.
    *
-   * @param ratio most retries a request, for all nodes together
-   * @param allowance retries that all nodes together may make in a window whatever the number of
-   *     requests
-   * @param windowMillis length of the window
-   * @param nodes tells the number of nodes, or 0 while it is not known; a node that has just
-   *     started would take the whole allowance for its own otherwise
+   * @param ratio maximum number of retries per request, for all nodes together
+   * @param allowance number of retries that all nodes together may make in each window regardless
+   *     of the number of requests
+   * @param windowMillis length of the window, in milliseconds
+   * @param nodes supplies the number of nodes, or 0 while it is unknown; a node that has just
+   *     started gets no allowance then, as it would otherwise use all of it
    */
   public static RetryBudget ofDeployment(
       double ratio, double allowance, long windowMillis, IntSupplier nodes) {
     return new RetryBudget(
-        ratio * RATIO_SHARE,
-        () -> shareOf(allowance * ALLOWANCE_SHARE, nodes.getAsInt()),
+        ratio * RATIO_FRACTION,
+        () -> shareOf(allowance * ALLOWANCE_FRACTION, nodes.getAsInt()),
         windowMillis);
   }
 
@@ -70,13 +75,17 @@
     return nodes == 0 ? 0 : allowance / nodes;
   }
 
-  /** Notes a request for a pool. */
-  public synchronized void requested(String pool, long nowMillis) {
+  /** Records a request for a pool. */
+  public synchronized void recordRequest(String pool, long nowMillis) {
     PoolWindow window = window(pool, nowMillis);
     window.requests.addLast(nowMillis);
   }
 
-  /** Takes one retry; false where the budget is used up. */
+  /**
+   * Consumes one retry from the budget.
+   *
+   * @return whether the budget allows it
+   */
   public synchronized boolean tryRetry(String pool, long nowMillis) {
     PoolWindow window = window(pool, nowMillis);
     if (window.retries.size() + 1 > ratio * window.requests.size() + allowance.getAsDouble()) {
--- a/gateway/src/main/java/org/lockdale/gateway/limit/ReturnedAmounts.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/ReturnedAmounts.java
@@ -8,18 +8,18 @@
 import java.util.Optional;
 
 /**
- * Amounts of requests that were granted and not run, for use by later requests of the same tenant
- * at this node. Each may be used until its own time only, so that what was granted early never adds
- * to a later window. Without I/O; time is injected; not safe for use by several threads.
+ * Amounts of requests that were granted but not run, for reuse by later requests of the same tenant
+ * at this node. Each expires at its original time, so that what was granted earlier never adds to a
+ * later window. Performs no I/O; the time is passed in. Not thread-safe.
  */
 public final class ReturnedAmounts {
 
-  /** Amounts that are kept for each tenant; further ones are dropped. */
+  /** Maximum number of amounts kept for each tenant; further ones are dropped. */
   private static final int MAX_KEPT = 64;
 
   private final Map<String, Deque<Admission.Granted>> byTenant = new HashMap<>();
 
-  /** Keeps an amount that was not used. */
+  /** Adds an amount that was not used. Ignored if it has expired. */
   public void add(Admission.Granted granted, long nowMillis) {
     Deque<Admission.Granted> kept =
         byTenant.computeIfAbsent(granted.tenant(), name -> new ArrayDeque<>());
@@ -29,7 +29,10 @@
     }
   }
 
-  /** Takes one amount that covers a request, with the time until which it may be used. */
+  /**
+   * Removes an amount that covers a request and returns the grant, which expires when the removed
+   * one would have; empty if there is none. The rest of the removed amount is lost.
+   */
   public Optional<Admission.Granted> take(String tenant, double amount, long nowMillis) {
     Deque<Admission.Granted> kept = byTenant.get(tenant);
     if (kept == null) {
--- a/gateway/src/main/java/org/lockdale/gateway/limit/ShareLender.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/ShareLender.java
@@ -4,17 +4,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Decides when a node lends its share of the tenants' limits to a relay. A share is never lent
+ * Decides when a node lends its share of the tenants' limits to a relay node. A share is never lent
  * twice for the same time: a loan ends a fixed time after the heartbeat that it answers was sent,
- * by the borrower's clock, and the node lends to another borrower only when that time has passed
- * since it heard the heartbeat, or when the former one has given the share back. Without I/O; time
- * is injected; not safe for use by several threads.
+ * by the borrower's clock. The node lends to another borrower only when that time has passed since
+ * it received the heartbeat, or when the former borrower has released the share. Performs no I/O;
+ * the time is passed in. Not thread-safe.
  */
 public final class ShareLender {
 
   /**
-   * How long a loan lasts, from when the answered heartbeat was sent. Heartbeats come every 500 ms,
-   * so one may be late; a longer term would leave a successor without shares for longer.
+   * Duration of a loan, from the sending of the answered heartbeat, in milliseconds. Heartbeats are
+   * sent every 500 ms, so one may be late; a longer term would leave a successor without shares for
+   * longer.
    */
   public static final long TERM_MILLIS = 900;
 
@@ -22,9 +23,9 @@
    * A heartbeat of a relay.
    *
    * @param relay id of the relay
-   * @param life tells the lives of the relay's process apart
-   * @param sentAtMillis the relay's clock when it was sent
-   * @param heardAtMillis this node's clock when it was heard
+   * @param life incarnation of the relay's process
+   * @param sentAtMillis time at which it was sent, by the relay's clock
+   * @param heardAtMillis time at which it was received, by this node's clock
    */
   public record Heartbeat(String relay, long life, long sentAtMillis, long heardAtMillis) {}
 
@@ -32,27 +33,28 @@
   private long lentUntilMillis;
 
   /**
-   * Creates the lender of a node that has just started: what an earlier life of it lent may still
-   * hold.
+   * Creates the lender of a node that has just started. Loans of its former incarnation may still
+   * be in effect, so it does not lend until they have ended.
    *
-   * @param startedAtMillis monotonic time at which the process began; its earlier life had ended by
-   *     then, and on a slow machine much of the term has passed before the first loan is asked for
+   * @param startedAtMillis monotonic time at which the process started; its former incarnation had
+   *     ended by then. On a slow machine much of the term has passed before the first loan is
+   *     requested
    */
   public ShareLender(long startedAtMillis) {
     this.lentUntilMillis = startedAtMillis + TERM_MILLIS;
   }
 
   /**
-   * Lends to a relay if that may be done now.
+   * Lends the share to a relay if this is allowed now.
    *
    * @param heartbeat latest heartbeat of the relay
    * @param nowMillis monotonic time
    * @return whether the share is lent, until a fixed time after the heartbeat
    */
   public boolean lend(Heartbeat heartbeat, long nowMillis) {
-    boolean old = nowMillis - heartbeat.heardAtMillis() >= TERM_MILLIS;
+    boolean isExpired = nowMillis - heartbeat.heardAtMillis() >= TERM_MILLIS;
     boolean lentElsewhere = !isLentTo(heartbeat.relay()) && nowMillis < lentUntilMillis;
-    if (old || lentElsewhere) {
+    if (isExpired || lentElsewhere) {
       return false;
     }
     lent = heartbeat;
@@ -66,7 +68,8 @@
   }
 
   /**
-   * Returns the heartbeat of the latest loan where that is to be recalled for another relay.
+   * Returns the heartbeat of the latest loan if that loan must be recalled first in order to lend
+   * to another relay, or empty otherwise.
    *
    * @param relay the relay to lend to
    * @param nowMillis monotonic time
@@ -77,7 +80,10 @@
         : Optional.ofNullable(lent);
   }
 
-  /** Takes in that a relay no longer uses the share of a loan. */
+  /**
+   * Processes the confirmation that a relay no longer uses the share of a loan. Ignored if it is
+   * not about the latest loan.
+   */
   public void released(String relay, long life, long sentAtMillis, long nowMillis) {
     Heartbeat latest = lent;
     if (latest != null
@@ -89,7 +95,7 @@
     }
   }
 
-  /** Returns when the latest loan ends. */
+  /** Returns the monotonic time at which the latest loan ends. */
   public long lentUntilMillis() {
     return lentUntilMillis;
   }
--- a/gateway/src/main/java/org/lockdale/gateway/limit/ShareLoans.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/ShareLoans.java
@@ -4,19 +4,21 @@
 import java.util.Map;
 
 /**
- * Shares that other nodes have lent, each until its time. Messages may come late, twice and in any
- * order. Without I/O; time is injected; not safe for use by several threads.
+ * Shares that other nodes have lent to this one, each until its end time. Messages may arrive late,
+ * twice and in any order. Performs no I/O; the time is passed in. Not thread-safe.
  */
 public final class ShareLoans {
 
-  /** What sums of shares may lack to 1 by rounding. */
+  /** Rounding error up to which a sum of shares counts as 1. */
   private static final double ROUNDING = 1e-9;
 
   private record Loan(double share, long sinceMillis, long untilMillis) {}
 
   private final Map<String, Loan> loans = new HashMap<>();
 
-  /** Until when a loan of a node would have lasted that was given back, or an earlier one. */
+  /**
+   * End time of the latest loan that was released, by node. Loans that end no later are ignored.
+   */
   private final Map<String, Long> released = new HashMap<>();
 
   private double share;
@@ -27,7 +29,7 @@
     return share;
   }
 
-  /** Returns the sum of those shares that have been here for some time without a break. */
+  /** Returns the sum of the shares that have been held without a break since a time or longer. */
   public double shareSince(long sinceMillis) {
     double sum = 0;
     for (Loan loan : loans.values()) {
@@ -36,7 +38,7 @@
     return Math.min(1, sum);
   }
 
-  /** Returns when the next loan ends. */
+  /** Returns the time at which the next loan ends; {@link Long#MAX_VALUE} if there is none. */
   public long nextEndMillis() {
     return nextEndMillis;
   }
@@ -46,36 +48,43 @@
     return loans.containsKey(node);
   }
 
-  /** Takes in a loan in place of the node's earlier one; loans up to now must have been ended. */
+  /**
+   * Records a loan in place of the node's earlier one. Loans that have ended by now must have been
+   * removed by {@link #end}.
+   */
   public void lent(String node, double part, long untilMillis, long nowMillis) {
-    Loan before = loans.get(node);
-    boolean outdated = before != null && untilMillis < before.untilMillis();
-    boolean givenBack = untilMillis <= released.getOrDefault(node, Long.MIN_VALUE);
-    if (untilMillis <= nowMillis || outdated || givenBack) {
+    Loan previous = loans.get(node);
+    boolean isOutdated = previous != null && untilMillis < previous.untilMillis();
+    boolean isReleased = untilMillis <= released.getOrDefault(node, Long.MIN_VALUE);
+    if (untilMillis <= nowMillis || isOutdated || isReleased) {
       return;
     }
-    loans.put(node, new Loan(part, before == null ? nowMillis : before.sinceMillis(), untilMillis));
-    sum();
+    loans.put(
+        node, new Loan(part, previous == null ? nowMillis : previous.sinceMillis(), untilMillis));
+    updateShare();
   }
 
-  /** Gives a share back; a loan that ends no later and comes in after this is ignored. */
+  /**
+   * Removes the loan of a node that was released. A loan that ends no later and arrives after this
+   * is ignored.
+   */
   public void release(String node, long untilMillis) {
     released.merge(node, untilMillis, Math::max);
     Loan loan = loans.get(node);
     if (loan != null && loan.untilMillis() <= untilMillis) {
       loans.remove(node);
     }
-    sum();
+    updateShare();
   }
 
-  /** Ends the loans whose time has come. */
+  /** Removes the loans that have ended. */
   public void end(long nowMillis) {
     loans.values().removeIf(loan -> loan.untilMillis() <= nowMillis);
     released.values().removeIf(until -> until <= nowMillis);
-    sum();
+    updateShare();
   }
 
-  private void sum() {
+  private void updateShare() {
     double shares = 0;
     nextEndMillis = Long.MAX_VALUE;
     for (Loan loan : loans.values()) {
--- a/gateway/src/main/java/org/lockdale/gateway/limit/TenantBuckets.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/TenantBuckets.java
@@ -6,63 +6,66 @@
 
 /**
  * Token buckets of all tenants with a limit, at a node that decides for others. Nodes lend it their
- * shares of the limits: a bucket gains and holds no more than the shares at hand allow, so that all
- * such nodes together keep to the limits, however many there are. Buckets begin empty: a restart
- * gains nothing, and they never go below zero, since what a relay owes would be forgotten when
- * another one follows it. Besides, nodes lend their parts of a reserve, which serves once in a
- * window where a bucket has nothing. Without I/O; time is injected; not safe for use by several
- * threads.
+ * shares of the limits. A bucket gains and holds no more than the borrowed shares allow, so that
+ * all such nodes together keep to the limits, however many there are. Buckets start empty, so that
+ * a restart gains nothing. They never go below zero, since a successor would not know a relay's
+ * debt. Nodes also lend their shares of a reserve, which may be used once per window when a bucket
+ * is empty. Performs no I/O; the time is passed in. Not thread-safe.
  */
 public final class TenantBuckets {
 
-  /** Refused requests come back after this time at most; a limit may be raised meanwhile. */
+  /** Maximum retry time of refused requests; a limit may be raised meanwhile. */
   static final long MAX_RETRY_MILLIS = 5_000;
 
-  /** Refused requests come back no sooner than this. */
+  /** Minimum retry time of refused requests. */
   static final long MIN_RETRY_MILLIS = 50;
 
   /**
-   * Refused requests come back no sooner where most shares are missing, a third of a loan's term.
+   * Minimum retry time of refused requests while most shares are missing: a third of the term of a
+   * loan.
    */
   static final long RETRY_WITHOUT_SHARES_MILLIS = 300;
 
-  private static final double MOST_SHARES = 0.5;
+  private static final double MAJORITY = 0.5;
 
   /**
-   * Small requests wait this long for a large one that was refused: at the limit, they would always
-   * come before it otherwise.
+   * Time for which smaller requests are refused in favour of a larger one that was refused; at the
+   * limit, they would otherwise always be granted before it.
    */
-  private static final long AWAIT_MILLIS = 1_000;
+  private static final long PENDING_MILLIS = 1_000;
 
   private static final class Bucket {
     Allowance allowance;
     double level;
 
-    /** Value of {@link #lentMillis} up to which the level counts. */
-    double lentMillis;
+    /** Value of {@link #shareMillis} up to which the level is computed. */
+    double shareMillis;
 
     double reserveUsed;
     long reserveUsedAtMillis;
 
-    /** Largest request that was refused not long ago. */
-    private double awaited;
+    /** Largest amount that was refused recently. */
+    private double pendingAmount;
 
-    private long awaitedUntilMillis;
+    private long pendingUntilMillis;
 
-    Bucket(Allowance allowance, double lentMillis) {
+    Bucket(Allowance allowance, double shareMillis) {
       this.allowance = allowance;
-      this.lentMillis = lentMillis;
+      this.shareMillis = shareMillis;
     }
 
-    /** Returns the level up to which others wait for a large request. */
-    double awaited(long nowMillis) {
-      return nowMillis < awaitedUntilMillis ? awaited : 0;
+    /**
+     * Returns the level that the bucket has to reach before smaller requests are granted; 0 if no
+     * larger one is pending.
+     */
+    double pendingAmount(long nowMillis) {
+      return nowMillis < pendingUntilMillis ? pendingAmount : 0;
     }
 
-    void await(double amount, long nowMillis) {
-      if (amount > awaited(nowMillis)) {
-        awaited = amount;
-        awaitedUntilMillis = nowMillis + AWAIT_MILLIS;
+    void setPending(double amount, long nowMillis) {
+      if (amount > pendingAmount(nowMillis)) {
+        pendingAmount = amount;
+        pendingUntilMillis = nowMillis + PENDING_MILLIS;
       }
     }
   }
@@ -71,89 +74,94 @@
   private final ShareLoans reserves = new ShareLoans();
   private final Map<String, Bucket> buckets = new HashMap<>();
 
-  /** Time after which a reserve may be used again, or at another node. */
-  private final long reserveRestMillis;
+  /** Time after which a reserve may be used again, or at another node, in milliseconds. */
+  private final long reserveReuseMillis;
 
-  /** Sum of the shares over time: one share of 1 adds 1 a millisecond. */
-  private double lentMillis;
+  /** Integral of the borrowed shares over time: a share of 1 adds 1 per millisecond. */
+  private double shareMillis;
 
-  private long atMillis;
+  private long updatedAtMillis;
 
   /**
    * Creates buckets without any tenant.
    *
-   * @param windowMillis window in which requests are counted
+   * @param windowMillis window in which requests are counted, in milliseconds
    * @param nowMillis monotonic time
    */
   public TenantBuckets(long windowMillis, long nowMillis) {
-    this.reserveRestMillis = windowMillis + Allowance.MAX_RETURN_MILLIS;
-    this.atMillis = nowMillis;
+    this.reserveReuseMillis = windowMillis + Allowance.MAX_RETURN_MILLIS;
+    this.updatedAtMillis = nowMillis;
   }
 
-  /** Takes in which tenants have limits; a bucket whose limit was lowered loses the surplus. */
+  /**
+   * Sets the allowances of all tenants with limits, by tenant name. A bucket whose limit was
+   * lowered loses the surplus.
+   */
   public void limit(Map<String, Allowance> allowances, long nowMillis) {
     advance(nowMillis);
     settleAll();
     buckets.keySet().retainAll(allowances.keySet());
     allowances.forEach(
         (tenant, allowance) ->
-            buckets.computeIfAbsent(tenant, name -> new Bucket(allowance, lentMillis)).allowance =
+            buckets.computeIfAbsent(tenant, name -> new Bucket(allowance, shareMillis)).allowance =
                 allowance);
     settleAll();
   }
 
   /**
-   * Takes in that a node lends its share, in place of what it lent before.
+   * Records that a node lends its share, in place of its earlier loan.
    *
    * @param node id of the node
-   * @param share its share of each limit
-   * @param untilMillis when the loan ends
+   * @param share share of each limit, from 0 to 1
+   * @param untilMillis monotonic time at which the loan ends
    * @param nowMillis monotonic time
    */
   public void lent(String node, double share, long untilMillis, long nowMillis) {
     advance(nowMillis);
     double before = shares.share();
     shares.lent(node, share, untilMillis, nowMillis);
-    settleAt(before);
+    settleAfterShareChange(before);
   }
 
-  /** Gives a node's share back. A loan that ends no later and comes in after this is ignored. */
+  /** Releases the share of a node. A loan that ends no later and arrives after this is ignored. */
   public void release(String node, long untilMillis, long nowMillis) {
     advance(nowMillis);
     double before = shares.share();
     shares.release(node, untilMillis);
-    settleAt(before);
+    settleAfterShareChange(before);
   }
 
-  /** Takes in that a node lends its part of the reserves, as {@link #lent}. */
+  /** Records that a node lends its share of the reserves, as {@link #lent} does for limits. */
   public void reserveLent(String node, double part, long untilMillis, long nowMillis) {
     reserves.end(nowMillis);
     reserves.lent(node, part, untilMillis, nowMillis);
   }
 
-  /** Gives a node's part of the reserves back, as {@link #release}. */
+  /** Releases the share of a node of the reserves, as {@link #release} does for limits. */
   public void releaseReserve(String node, long untilMillis, long nowMillis) {
     reserves.end(nowMillis);
     reserves.release(node, untilMillis);
   }
 
   /**
-   * Counts a request where it lies within the limit.
+   * Deducts a request from its tenant's bucket if it is within the limit. A tenant without a bucket
+   * has no limit.
    *
    * @param tenant name of the tenant
-   * @param amount what the request counts
+   * @param amount amount that the request consumes
    * @param nowMillis monotonic time
-   * @return empty where it does, else the time after which it may fit, in milliseconds
+   * @return empty if the request is within the limit, else the time after which it may fit, in
+   *     milliseconds
    */
   public OptionalLong take(String tenant, double amount, long nowMillis) {
     advance(nowMillis);
     Bucket bucket = buckets.get(tenant);
     if (bucket == null) {
-      // This node's configuration has no limit for the tenant yet, or no longer.
+      // The configuration of this node has no limit for the tenant yet, or no longer.
       return OptionalLong.empty();
     }
     settle(bucket, shares.share());
-    double needed = Math.max(amount, bucket.awaited(nowMillis));
+    double needed = Math.max(amount, bucket.pendingAmount(nowMillis));
     if (needed <= bucket.level) {
       bucket.level -= amount;
       return OptionalLong.empty();
@@ -161,48 +169,50 @@
     if (takeReserve(bucket, amount, nowMillis)) {
       return OptionalLong.empty();
     }
-    bucket.await(needed, nowMillis);
+    bucket.setPending(needed, nowMillis);
     return OptionalLong.of(retryAfter(bucket, needed));
   }
 
   /**
-   * A part of the reserve counts here once it can't have been used elsewhere in the same window.
+   * Deducts a request from the reserve if it is large enough. A share of the reserve is used only
+   * once it cannot have been used elsewhere in the same window.
    */
   private boolean takeReserve(Bucket bucket, double amount, long nowMillis) {
     reserves.end(nowMillis);
-    if (nowMillis - bucket.reserveUsedAtMillis >= reserveRestMillis) {
+    if (nowMillis - bucket.reserveUsedAtMillis >= reserveReuseMillis) {
       bucket.reserveUsed = 0;
     }
-    double part = reserves.shareSince(nowMillis - reserveRestMillis);
-    double left = bucket.allowance.reserve() * part - bucket.reserveUsed;
-    double ofReserve = Math.min(left, amount);
-    if (ofReserve <= 0 || amount - ofReserve > bucket.level) {
+    double reserveShare = reserves.shareSince(nowMillis - reserveReuseMillis);
+    double available = bucket.allowance.reserve() * reserveShare - bucket.reserveUsed;
+    double fromReserve = Math.min(available, amount);
+    if (fromReserve <= 0 || amount - fromReserve > bucket.level) {
       return false;
     }
-    bucket.level -= amount - ofReserve;
-    bucket.reserveUsed += ofReserve;
+    bucket.level -= amount - fromReserve;
+    bucket.reserveUsed += fromReserve;
     bucket.reserveUsedAtMillis = nowMillis;
     return true;
   }
 
   private long retryAfter(Bucket bucket, double needed) {
-    // Shares that are missing now are mostly back before the request is.
+    // Assumes all shares to be present: those missing now have mostly returned before the request
+    // does.
     double wait = Math.ceil((needed - bucket.level) / bucket.allowance.ratePerMilli());
-    long least = shares.share() < MOST_SHARES ? RETRY_WITHOUT_SHARES_MILLIS : MIN_RETRY_MILLIS;
-    return (long) Math.max(least, Math.min(MAX_RETRY_MILLIS, wait));
+    long minMillis = shares.share() < MAJORITY ? RETRY_WITHOUT_SHARES_MILLIS : MIN_RETRY_MILLIS;
+    return (long) Math.max(minMillis, Math.min(MAX_RETRY_MILLIS, wait));
   }
 
   /**
-   * Takes in that the machine was suspended. What a tenant may send does not grow meanwhile: others
-   * decided then, and the time may have been set instead.
+   * Excludes the time of a suspension of the machine from the gain of the buckets: other nodes
+   * decided on requests meanwhile, and the clock may have been set instead.
    *
-   * @param millis how long, in milliseconds
+   * @param millis duration of the suspension, in milliseconds
    */
   public void suspended(long millis) {
-    atMillis += millis;
+    updatedAtMillis += millis;
   }
 
-  /** Returns the sum of the shares at hand, from 0 to 1. */
+  /** Returns the sum of the borrowed shares, from 0 to 1. */
   public double share(long nowMillis) {
     advance(nowMillis);
     return shares.share();
@@ -213,18 +223,22 @@
       elapse(shares.nextEndMillis());
       double before = shares.share();
       shares.end(shares.nextEndMillis());
-      settleAt(before);
+      settleAfterShareChange(before);
     }
     elapse(nowMillis);
   }
 
   private void elapse(long nowMillis) {
-    lentMillis += shares.share() * Math.max(0, nowMillis - atMillis);
-    atMillis = Math.max(atMillis, nowMillis);
+    shareMillis += shares.share() * Math.max(0, nowMillis - updatedAtMillis);
+    updatedAtMillis = Math.max(updatedAtMillis, nowMillis);
   }
 
-  /** Brings all levels up to date where the share has changed, which it held at until now. */
-  private void settleAt(double shareBefore) {
+  /**
+   * Updates all levels after a change of the sum of the shares.
+   *
+   * @param shareBefore sum of the shares until now
+   */
+  private void settleAfterShareChange(double shareBefore) {
     if (shares.share() != shareBefore) {
       buckets.values().forEach(bucket -> settle(bucket, shareBefore));
       settleAll();
@@ -236,8 +250,8 @@
   }
 
   private void settle(Bucket bucket, double share) {
-    double gained = (lentMillis - bucket.lentMillis) * bucket.allowance.ratePerMilli();
-    bucket.lentMillis = lentMillis;
+    double gained = (shareMillis - bucket.shareMillis) * bucket.allowance.ratePerMilli();
+    bucket.shareMillis = shareMillis;
     bucket.level = Math.min(bucket.level + gained, bucket.allowance.capacity() * share);
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/limit/TenantLimiter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/TenantLimiter.java
@@ -3,18 +3,19 @@
 import java.util.concurrent.CompletableFuture;
 import org.lockdale.gateway.configuration.TenantLimit;
 
-/** Keeps tenants to their limits. Safe for use by several threads. */
+/** Enforces the limits of tenants. Thread-safe. */
 public interface TenantLimiter {
 
   /**
-   * Counts a request. The future doesn't fail.
+   * Decides whether a request is within its tenant's limit, and deducts it if so. The future never
+   * completes exceptionally.
    *
    * @param tenant name of the tenant
-   * @param limit its limit
-   * @param amount what the request counts
+   * @param limit limit of the tenant
+   * @param amount amount that the request consumes
    */
   CompletableFuture<Admission> admit(String tenant, TenantLimit limit, double amount);
 
-  /** Gives back what a request counted that was not run and never will be. */
+  /** Returns the amount of a request that was not run and never will be. */
   void giveBack(Admission.Granted granted);
 }
--- a/gateway/src/main/java/org/lockdale/gateway/limit/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/package-info.java
@@ -1,4 +1,4 @@
-/** Bounds on retries, and limits of tenants over all nodes. */
+/** Retry budgets, and limits of tenants across all nodes. */
 @NullMarked
 package org.lockdale.gateway.limit;
 
--- a/gateway/src/main/java/org/lockdale/gateway/request/Attempt.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/Attempt.java
@@ -294,8 +294,8 @@
       forwarder.end();
       finish(AttemptResult.COMPLETE, "");
     } else if (received.promisesNotRun()) {
-      // The answer normally implies that the request was not run, but without an explicit
-      // statement of the backend this must not be promised to the caller.
+      // Callers take this status as a guarantee that the request was not run, which only the
+      // backend itself may give.
       head = null;
       finish(AttemptResult.FAILED, "it answered " + received.status() + " without a reason");
     } else if (received.isServerError()) {
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestExecution.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestExecution.java
@@ -44,8 +44,8 @@
   private boolean ended;
 
   /**
-   * Time after which the caller should retry, in milliseconds; null unless rate limits of backends
-   * determine it.
+   * Time after which the caller should retry, in milliseconds; null unless rate limits or backoffs
+   * of backends determine it.
    */
   private @Nullable Long retryAfterMillis;
 
@@ -121,9 +121,9 @@
   }
 
   /**
-   * Handles that all backends are at their rate limits. The request waits if it can still meet its
-   * objective; otherwise it is refused with a retry time, as it is better served elsewhere or
-   * later.
+   * Handles that all backends that could serve the request are at their rate limits or in a
+   * backoff. The request waits if it can still meet its objective; otherwise it is refused with a
+   * retry time, as it is better served elsewhere or later.
    */
   private void waitOrRefuse(long waitMillis) {
     long now = path.nowMillis();
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestPath.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestPath.java
@@ -217,7 +217,7 @@
 
   private void proceed(RequestState state) {
     state.pool = splits.next(state.route());
-    budget.requested(state.pool, time.monotonicMillis());
+    budget.recordRequest(state.pool, time.monotonicMillis());
     new RequestExecution(this, state).start();
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestState.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestState.java
@@ -181,7 +181,7 @@
 
   /**
    * Returns the monotonic time until which the request may wait for a backend that is at its rate
-   * limit. The rest of the objective is left for the answer.
+   * limit or in a backoff. The rest of the objective is left for the answer.
    */
   long waitDeadlineMillis() {
     return answerStarted
--- a/gateway/src/test/java/org/lockdale/gateway/limit/DecidersTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/LimitRelaySelectorTest.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** A relay that has most shares decides, else the most senior one. */
-public final class DecidersTest {
+/** Tests that a relay with most shares is selected, or else the most senior one. */
+public final class LimitRelaySelectorTest {
 
   private static final List<String> BY_SENIORITY = List.of("a", "b", "c");
 
--- a/gateway/src/test/java/org/lockdale/gateway/limit/LimitSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/LimitSimulation.java
@@ -16,8 +16,8 @@
 import org.lockdale.gateway.configuration.TenantLimit;
 
 /**
- * Many nodes on a simulated network that keep tenants to their limits. Time, messages and clocks
- * are simulated; the state machines are those of the product.
+ * Simulates many nodes that keep tenants to their limits. Time, messages and clocks are simulated;
+ * the state machines under test are those of production.
  */
 final class LimitSimulation {
 
@@ -27,29 +27,31 @@
   private static final InetSocketAddress ADDRESS = new InetSocketAddress("127.0.0.1", 1);
   private static final long TICK_MILLIS = 200;
   private static final long RELAY_TICK_MILLIS = 50;
-  private static final long HEARTBEAT_MILLIS = 500;
+  private static final long HEARTBEAT_INTERVAL_MILLIS = 500;
 
-  /** Nodes look after their loans this often besides. */
-  private static final long UPKEEP_MILLIS = 500;
+  /**
+   * Interval at which nodes renew their loans in addition to answering heartbeats, in milliseconds.
+   */
+  private static final long UPKEEP_INTERVAL_MILLIS = 500;
 
   private static final long MAX_PROOF_AGE_MILLIS = 2_000;
   private static final long ANSWER_MILLIS = 40;
   private static final int MAX_TRIES = 4;
   private static final int MAX_SILENT_QUESTIONS = 3;
 
-  /** The load balancer takes a node out that misses two checks. */
+  /** Time after which the load balancer removes an unreachable node: it missed two checks. */
   private static final long UNREADY_MILLIS = 2_000;
 
   private static final int PREFERRED_NODES = 6;
-  private static final int LOST_MESSAGES_IN = 100;
-  private static final int NOT_RUN_IN = 10;
+  private static final int MESSAGES_PER_LOSS = 100;
+  private static final int REQUESTS_PER_NOT_RUN = 10;
   private static final long NOT_RUN_MILLIS = 30;
 
   private record Event(long atMillis, long number, Runnable action) {}
 
   private record Question(String tenant, double amount, long sentAt, int tries) {}
 
-  /** One node and its lives. */
+  /** A node with its successive incarnations. */
   final class Node {
     final String id;
     final boolean preferred;
@@ -60,23 +62,26 @@
     private TenantBuckets buckets;
     private ReturnedAmounts returned;
     private Map<String, ShareLender.Heartbeat> heartbeats;
-    private Map<String, Double> toldShares;
+    private Map<String, Double> reportedShares;
     private Map<Long, Question> open;
     private Map<String, TenantLimit> limits;
-    private long life;
+    private long incarnation;
     private int silentQuestions;
-    private long upkeepAt;
+    private long lastUpkeepAt;
     private int knownNodes;
     private long provenAt = Long.MIN_VALUE / 2;
-    private long heartbeatAt = Long.MIN_VALUE / 2;
+    private long lastHeartbeatAt = Long.MIN_VALUE / 2;
     private long frozenUntil;
     boolean up;
 
-    /** Nodes of different groups don't hear each other; group 0 is the rest. */
+    /**
+     * Network partition of the node. Nodes of different partitions cannot reach each other; 0 is
+     * the main one.
+     */
     int group;
 
     boolean reachesStore = true;
-    private long cutAtMillis = Long.MAX_VALUE;
+    private long partitionedAtMillis = Long.MAX_VALUE;
 
     private Node(int index) {
       this.id = "node-" + index;
@@ -90,20 +95,20 @@
 
     void start() {
       up = true;
-      life++;
+      incarnation++;
       election = new RelayElection(id, MAX_PROOF_AGE_MILLIS);
       lender = new ShareLender(clock());
       reserveLender = new ShareLender(clock());
       buckets = new TenantBuckets(WINDOW_MILLIS, clock());
       returned = new ReturnedAmounts();
       heartbeats = new HashMap<>();
-      toldShares = new HashMap<>();
+      reportedShares = new HashMap<>();
       open = new HashMap<>();
       limits = Map.of();
       knownNodes = 0;
-      heartbeatAt = Long.MIN_VALUE / 2;
+      lastHeartbeatAt = Long.MIN_VALUE / 2;
       long first = random.nextInt((int) TICK_MILLIS);
-      long current = life;
+      long current = incarnation;
       after(first, () -> tickOf(current));
     }
 
@@ -115,23 +120,26 @@
       frozenUntil = now + millis;
     }
 
-    void cut(int newGroup) {
+    void partition(int newGroup) {
       group = newGroup;
-      cutAtMillis = newGroup == 0 ? Long.MAX_VALUE : now;
+      partitionedAtMillis = newGroup == 0 ? Long.MAX_VALUE : now;
       reachesStore = newGroup == 0;
     }
 
-    private boolean takesCallers() {
-      return up && !limits.isEmpty() && frozenUntil <= now && now - UNREADY_MILLIS < cutAtMillis;
+    private boolean isReady() {
+      return up
+          && !limits.isEmpty()
+          && frozenUntil <= now
+          && now - UNREADY_MILLIS < partitionedAtMillis;
     }
 
-    private void tickOf(long tickedLife) {
-      if (!up || life != tickedLife) {
+    private void tickOf(long tickedIncarnation) {
+      if (!up || incarnation != tickedIncarnation) {
         return;
       }
       tick();
       long pause = election.isServing() ? RELAY_TICK_MILLIS : TICK_MILLIS;
-      after(pause, () -> whenAwake(this, tickedLife, () -> tickOf(tickedLife)));
+      after(pause, () -> whenAwake(this, tickedIncarnation, () -> tickOf(tickedIncarnation)));
     }
 
     private void tick() {
@@ -143,21 +151,21 @@
         if (reachesStore && storeUp) {
           provenAt = now;
         }
-        if (now - heartbeatAt >= HEARTBEAT_MILLIS) {
-          heartbeatAt = now;
+        if (now - lastHeartbeatAt >= HEARTBEAT_INTERVAL_MILLIS) {
+          lastHeartbeatAt = now;
           sendHeartbeat();
         }
       }
-      if (now - upkeepAt >= UPKEEP_MILLIS) {
-        upkeepAt = now;
+      if (now - lastUpkeepAt >= UPKEEP_INTERVAL_MILLIS) {
+        lastUpkeepAt = now;
         lend();
       }
     }
 
-    /** A node reads the store, or a relay's copy of it. */
+    /** Reads the limits from the store, or from the copy of a relay. */
     private void readStore() {
-      boolean relayTells = !election.relays(clock()).isEmpty() && group == 0;
-      if (storeUp && (reachesStore || relayTells)) {
+      boolean isReachedByRelay = !election.relays(clock()).isEmpty() && group == 0;
+      if (storeUp && (reachesStore || isReachedByRelay)) {
         knownNodes = registered;
         if (limits != limitsInStore) {
           limits = limitsInStore;
@@ -170,36 +178,41 @@
 
     private void sendHeartbeat() {
       long sentAt = clock();
-      long senderLife = life;
+      long senderIncarnation = incarnation;
       long provenWhen = provenAt;
       double share = buckets.share(clock());
       long since = election.servingSinceMillis();
       for (Node other : nodes) {
         if (other != this) {
-          send(this, other, () -> other.hear(this, senderLife, sentAt, since, provenWhen, share));
+          send(
+              this,
+              other,
+              () -> other.onHeartbeat(this, senderIncarnation, sentAt, since, provenWhen, share));
         }
       }
     }
 
-    private void hear(
-        Node relay, long relayLife, long sentAt, long since, long provenWhen, double share) {
-      toldShares.put(relay.id, share);
+    private void onHeartbeat(
+        Node relay, long relayIncarnation, long sentAt, long since, long provenWhen, double share) {
+      reportedShares.put(relay.id, share);
       election.heard(relay.id, ADDRESS, since, provenWhen + clockOffset, clock());
-      heartbeats.put(relay.id, new ShareLender.Heartbeat(relay.id, relayLife, sentAt, clock()));
+      heartbeats.put(
+          relay.id, new ShareLender.Heartbeat(relay.id, relayIncarnation, sentAt, clock()));
       lend();
     }
 
-    private List<String> deciders() {
+    private List<String> limitRelays() {
       List<String> relays = election.deciders(ShareLender.TERM_MILLIS, clock());
       return Deciders.inOrder(
           relays,
-          relay -> relay.equals(id) ? buckets.share(clock()) : toldShares.getOrDefault(relay, 0.0));
+          relay ->
+              relay.equals(id) ? buckets.share(clock()) : reportedShares.getOrDefault(relay, 0.0));
     }
 
     private void lend() {
-      List<String> deciders = deciders();
-      lend(false, byId.get(deciders.get(0)));
-      lend(true, byId.get(deciders.get(Math.min(1, deciders.size() - 1))));
+      List<String> relays = limitRelays();
+      lend(false, byId.get(relays.get(0)));
+      lend(true, byId.get(relays.get(Math.min(1, relays.size() - 1))));
     }
 
     private ShareLender lender(boolean reserve) {
@@ -210,7 +223,7 @@
       recall(reserve, borrower);
       ShareLender.Heartbeat heartbeat =
           borrower == this
-              ? new ShareLender.Heartbeat(id, life, clock(), clock())
+              ? new ShareLender.Heartbeat(id, incarnation, clock(), clock())
               : heartbeats.get(borrower.id);
       if (heartbeat == null || knownNodes == 0 || !lender(reserve).lend(heartbeat, clock())) {
         return;
@@ -235,14 +248,14 @@
                 } else {
                   send(this, former, () -> former.release(this, loan, reserve));
                 }
-                long current = life;
+                long current = incarnation;
                 long wait = Math.max(0, recalls.lentUntilMillis() - clock());
                 after(wait, () -> whenAwake(this, current, this::lend));
               });
     }
 
     private void release(Node node, ShareLender.Heartbeat loan, boolean reserve) {
-      if (loan.life() != life) {
+      if (loan.life() != incarnation) {
         return;
       }
       long until = loan.sentAtMillis() + ShareLender.TERM_MILLIS;
@@ -251,22 +264,22 @@
       } else {
         buckets.release(node.id, until, clock());
       }
-      long ownLife = life;
+      long ownIncarnation = incarnation;
       if (node == this) {
-        lender(reserve).released(id, life, loan.sentAtMillis(), clock());
+        lender(reserve).released(id, incarnation, loan.sentAtMillis(), clock());
       } else {
-        send(this, node, () -> node.released(this, ownLife, loan.sentAtMillis(), reserve));
+        send(this, node, () -> node.released(this, ownIncarnation, loan.sentAtMillis(), reserve));
       }
     }
 
-    private void released(Node relay, long relayLife, long sentAt, boolean reserve) {
-      lender(reserve).released(relay.id, relayLife, sentAt, clock());
+    private void released(Node relay, long relayIncarnation, long sentAt, boolean reserve) {
+      lender(reserve).released(relay.id, relayIncarnation, sentAt, clock());
       lend();
     }
 
     private void borrow(
         String node, ShareLender.Heartbeat heartbeat, double part, boolean reserve) {
-      if (heartbeat.life() != life) {
+      if (heartbeat.life() != incarnation) {
         return;
       }
       long until = heartbeat.sentAtMillis() + ShareLender.TERM_MILLIS;
@@ -277,7 +290,7 @@
       }
     }
 
-    private void asked(TenantTraffic traffic, double amount) {
+    private void onRequest(TenantTraffic traffic, double amount) {
       long usedFrom = clock();
       var kept = returned.take(traffic.tenant, amount, usedFrom);
       if (kept.isPresent()) {
@@ -288,8 +301,8 @@
     }
 
     private void ask(TenantTraffic traffic, double amount, int tries) {
-      Node decides = byId.get(deciders().get(0));
-      if (decides == this) {
+      Node decider = byId.get(limitRelays().get(0));
+      if (decider == this) {
         long askedAt = clock();
         if (buckets.take(traffic.tenant, amount, clock()).isEmpty()) {
           granted(traffic, grant(traffic, amount, askedAt));
@@ -300,18 +313,17 @@
       open.put(number, new Question(traffic.tenant, amount, clock(), tries));
       send(
           this,
-          decides,
+          decider,
           () -> {
-            OptionalLong wait = decides.buckets.take(traffic.tenant, amount, decides.clock());
-            send(decides, this, () -> answered(traffic, number, wait.isEmpty()));
+            OptionalLong wait = decider.buckets.take(traffic.tenant, amount, decider.clock());
+            send(decider, this, () -> onAnswer(traffic, number, wait.isEmpty()));
           });
-      long current = life;
+      long current = incarnation;
       after(
-          ANSWER_MILLIS,
-          () -> whenAwake(this, current, () -> unanswered(traffic, number, decides)));
+          ANSWER_MILLIS, () -> whenAwake(this, current, () -> onTimeout(traffic, number, decider)));
     }
 
-    private void answered(TenantTraffic traffic, long number, boolean admitted) {
+    private void onAnswer(TenantTraffic traffic, long number, boolean admitted) {
       Question question = open.remove(number);
       if (question != null) {
         silentQuestions = 0;
@@ -321,7 +333,7 @@
       }
     }
 
-    private void unanswered(TenantTraffic traffic, long number, Node silent) {
+    private void onTimeout(TenantTraffic traffic, long number, Node silent) {
       Question question = open.remove(number);
       if (question == null) {
         return;
@@ -337,19 +349,19 @@
     }
 
     private Admission.Granted grant(TenantTraffic traffic, double amount, long askedAt) {
-      long until = askedAt + Allowance.of(traffic.limitNow(), BOUND).returnMillis();
+      long until = askedAt + Allowance.of(traffic.currentLimit(), BOUND).returnMillis();
       return new Admission.Granted(traffic.tenant, amount, until);
     }
 
     private void granted(TenantTraffic traffic, Admission.Granted granted) {
-      if (random.nextInt(NOT_RUN_IN) > 0) {
-        traffic.sent(now, granted.amount());
-        traffic.passed += granted.amount();
+      if (random.nextInt(REQUESTS_PER_NOT_RUN) > 0) {
+        traffic.recordSent(now, granted.amount());
+        traffic.admitted += granted.amount();
         return;
       }
-      // No server runs it; what it counted is free again.
-      traffic.passed += granted.amount();
-      long current = life;
+      // No server runs the request, so the amount that it consumed is available again.
+      traffic.admitted += granted.amount();
+      long current = incarnation;
       after(NOT_RUN_MILLIS, () -> whenAwake(this, current, () -> returned.add(granted, clock())));
     }
   }
@@ -397,7 +409,7 @@
     limitsInStore = Map.copyOf(limits);
     traffics.stream()
         .filter(traffic -> traffic.tenant.equals(tenant))
-        .forEach(traffic -> traffic.limitNow(limit));
+        .forEach(traffic -> traffic.setLimit(limit));
   }
 
   TenantTraffic tenant(String name, double ratePerSecond, Predicate<Node> receives) {
@@ -408,8 +420,8 @@
     return traffic;
   }
 
-  /** Asks for a tenant at a rate, with requests of a few sizes, until some time. */
-  void ask(TenantTraffic traffic, double tokensPerSecond, long untilMillis) {
+  /** Generates requests of a few sizes for a tenant at a rate until a time. */
+  void generateRequests(TenantTraffic traffic, double tokensPerSecond, long untilMillis) {
     double amount = amount();
     double pause = -Math.log(1 - random.nextDouble()) * amount * 1_000 / tokensPerSecond;
     after(
@@ -419,7 +431,7 @@
             return;
           }
           arrive(traffic, amount);
-          ask(traffic, tokensPerSecond, untilMillis);
+          generateRequests(traffic, tokensPerSecond, untilMillis);
         });
   }
 
@@ -429,17 +441,16 @@
   }
 
   private void arrive(TenantTraffic traffic, double amount) {
-    List<Node> receivers =
-        nodes.stream().filter(Node::takesCallers).filter(traffic.receives).toList();
+    List<Node> receivers = nodes.stream().filter(Node::isReady).filter(traffic.receives).toList();
     if (receivers.isEmpty()) {
-      receivers = nodes.stream().filter(Node::takesCallers).toList();
+      receivers = nodes.stream().filter(Node::isReady).toList();
     }
     if (receivers.isEmpty()) {
-      // Nobody hears the caller; that is no matter of limits.
+      // No node can receive the request, which does not concern the limits.
       return;
     }
-    traffic.asked(amount, now);
-    receivers.get(random.nextInt(receivers.size())).asked(traffic, amount);
+    traffic.recordDemand(amount, now);
+    receivers.get(random.nextInt(receivers.size())).onRequest(traffic, amount);
   }
 
   void after(long millis, Runnable action) {
@@ -451,25 +462,25 @@
   }
 
   private void send(Node sender, Node receiver, Runnable delivery) {
-    if (random.nextInt(LOST_MESSAGES_IN) == 0 || sender.group != receiver.group) {
+    if (random.nextInt(MESSAGES_PER_LOSS) == 0 || sender.group != receiver.group) {
       return;
     }
     after(
         1 + random.nextInt(3),
         () -> {
           if (sender.group == receiver.group) {
-            whenAwake(receiver, receiver.life, delivery);
+            whenAwake(receiver, receiver.incarnation, delivery);
           }
         });
   }
 
-  /** What comes for a frozen node waits until it wakes. */
-  private void whenAwake(Node node, long life, Runnable action) {
-    if (!node.up || node.life != life) {
+  /** Runs an action of a node, or delays it until the node is no longer frozen. */
+  private void whenAwake(Node node, long incarnation, Runnable action) {
+    if (!node.up || node.incarnation != incarnation) {
       return;
     }
     if (node.frozenUntil > now) {
-      at(node.frozenUntil, () -> whenAwake(node, life, action));
+      at(node.frozenUntil, () -> whenAwake(node, incarnation, action));
     } else {
       action.run();
     }
@@ -480,7 +491,7 @@
     nodes.stream().filter(node -> node.up && node.election.isServing()).forEach(action);
   }
 
-  /** Returns the relay that most nodes ask. */
+  /** Returns the relay that most nodes use, which is the one with the largest sum of shares. */
   Node coordinator() {
     return nodes.stream()
         .filter(node -> node.up && node.election.isServing())
--- a/gateway/src/test/java/org/lockdale/gateway/limit/LimitSimulationTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/LimitSimulationTest.java
@@ -9,47 +9,49 @@
 import org.testng.annotations.Test;
 
 /**
- * A hundred simulated nodes keep tenants to their limits, whatever goes: never more than the bound
- * in any window. Of what a single bucket would let through, 97% or more passes in all plays
- * together and in each play, as the mean of the tenants; 90% where all nodes are restarted and
- * another fault comes.
+ * Tests the limits of tenants with a hundred simulated nodes and injected faults. The bound must
+ * not be exceeded in any window. Of the amount that a single bucket would admit, at least 97% must
+ * be admitted over all runs together and in each run, as the mean of the tenants; 90% if all nodes
+ * are restarted and another fault is injected.
  */
 public final class LimitSimulationTest {
 
   private static final int NODES = 100;
   private static final int SEEDS = Integer.getInteger("lockdale.limit.seeds", 200);
-  private static final double LEAST_PASSED = 0.97;
+  private static final double MIN_ADMITTED = 0.97;
 
   /**
-   * Each restart of all nodes costs more than a second of a play of 40 s: what their earlier lives
-   * lent has to end, and buckets begin empty. With a second fault less is asked.
+   * Restarting all nodes costs more than a second of a run of 40 s: the loans of their former
+   * incarnations have to end, and buckets start empty. With a second fault, less is required.
    */
-  private static final double LEAST_PASSED_ALL_RESTARTED = 0.90;
+  private static final double MIN_ADMITTED_ALL_RESTARTED = 0.90;
 
   private static final long TRAFFIC_FROM = 10_000;
   private static final long TRAFFIC_UNTIL = 50_000;
   private static final long FAULT_FROM = 14_000;
   private static final long FAULT_SPREAD = 20_000;
 
-  /** Time for a lower limit to reach every node once all of them are connected. */
+  /**
+   * Time for a lowered limit to reach every node once all of them are connected, in milliseconds.
+   */
   private static final long APPLY_MILLIS = 3_000;
 
-  /** Longest time for which a fault keeps nodes out of touch. */
-  private static final long FAULT_MILLIS = 9_000;
+  /** Longest time for which a fault isolates nodes, in milliseconds. */
+  private static final long MAX_FAULT_MILLIS = 9_000;
 
   private static final double SMALL = 29_000;
   private static final double MEDIUM = 200_000;
   private static final double LARGE = 430_000;
 
-  /** Faults that are brought about one at a time and in pairs. */
+  /** Faults that are injected one at a time and in pairs. */
   private enum Fault {
     NONE,
     RELAY_KILLED,
     RELAY_FROZEN,
     RELAY_WITHOUT_STORE,
-    RELAY_CUT_OFF,
+    RELAY_PARTITIONED,
     STORE_DOWN,
-    NODES_CUT_OFF,
+    NODES_PARTITIONED,
     NODES_RESTARTED,
     NODES_REMOVED,
     NODES_ADDED,
@@ -66,13 +68,13 @@
     for (int seed = 0; seed < SEEDS; seed++) {
       Fault first = faults[seed % faults.length];
       Fault second = faults[(seed / faults.length) % faults.length];
-      play(seed, first, second);
+      run(seed, first, second);
     }
     assertTrue(failures.isEmpty(), failures.size() + " failures: " + failures);
-    assertTrue(sumOfMeans >= LEAST_PASSED * SEEDS, "passed " + sumOfMeans / SEEDS);
+    assertTrue(sumOfMeans >= MIN_ADMITTED * SEEDS, "admitted " + sumOfMeans / SEEDS);
   }
 
-  private void play(long seed, Fault first, Fault second) {
+  private void run(long seed, Fault first, Fault second) {
     LimitSimulation simulation = new LimitSimulation(NODES, seed);
     simulation.tenant("small", SMALL, node -> true);
     simulation.tenant("large", LARGE, node -> true);
@@ -82,25 +84,26 @@
     simulation.at(TRAFFIC_FROM, () -> startTraffic(simulation));
     long firstAt = FAULT_FROM + simulation.random.nextInt((int) FAULT_SPREAD);
     long secondAt = FAULT_FROM + simulation.random.nextInt((int) FAULT_SPREAD);
-    simulation.at(firstAt, () -> cause(simulation, first));
-    simulation.at(secondAt, () -> cause(simulation, second));
+    simulation.at(firstAt, () -> inject(simulation, first));
+    simulation.at(secondAt, () -> inject(simulation, second));
     simulation.runUntil(TRAFFIC_UNTIL + 1_000);
     long lastFaultAt =
         Math.max(first == Fault.NONE ? 0 : firstAt, second == Fault.NONE ? 0 : secondAt);
-    judge(simulation, seed, first, second, lastFaultAt);
+    check(simulation, seed, first, second, lastFaultAt);
   }
 
   private static void startTraffic(LimitSimulation simulation) {
     double[] ofLimit = {0.55, 0.55, 0.6, 0.95, 0.55};
     for (int index = 0; index < ofLimit.length; index++) {
       TenantTraffic traffic = simulation.traffics.get(index);
-      simulation.ask(traffic, traffic.limit.ratePerSecond() * ofLimit[index], TRAFFIC_UNTIL);
+      simulation.generateRequests(
+          traffic, traffic.limit.ratePerSecond() * ofLimit[index], TRAFFIC_UNTIL);
     }
     TenantTraffic hot = simulation.traffics.get(2);
-    simulation.at(FAULT_FROM, () -> simulation.ask(hot, 3 * MEDIUM, TRAFFIC_UNTIL));
+    simulation.at(FAULT_FROM, () -> simulation.generateRequests(hot, 3 * MEDIUM, TRAFFIC_UNTIL));
   }
 
-  private static void cause(LimitSimulation simulation, Fault fault) {
+  private static void inject(LimitSimulation simulation, Fault fault) {
     switch (fault) {
       case RELAY_KILLED -> restart(simulation, simulation.coordinator(), 3_500);
       case RELAY_FROZEN -> simulation.coordinator().freeze(4_000);
@@ -109,14 +112,14 @@
         relay.reachesStore = false;
         simulation.after(6_000, () -> relay.reachesStore = true);
       }
-      case RELAY_CUT_OFF -> cut(simulation, simulation.coordinator(), 1_000);
+      case RELAY_PARTITIONED -> partition(simulation, simulation.coordinator(), 1_000);
       case STORE_DOWN -> {
         simulation.storeUp = false;
         simulation.after(9_000, () -> simulation.storeUp = true);
       }
-      case NODES_CUT_OFF -> {
+      case NODES_PARTITIONED -> {
         for (int index = 10; index < 27; index++) {
-          cut(simulation, simulation.nodes.get(index), index % 3 + 1);
+          partition(simulation, simulation.nodes.get(index), index % 3 + 1);
         }
       }
       case NODES_RESTARTED -> {
@@ -147,38 +150,38 @@
     simulation.after(downMillis, node::start);
   }
 
-  private static void cut(LimitSimulation simulation, LimitSimulation.Node node, int group) {
-    node.cut(group);
-    simulation.after(5_500, () -> node.cut(0));
+  private static void partition(LimitSimulation simulation, LimitSimulation.Node node, int group) {
+    node.partition(group);
+    simulation.after(5_500, () -> node.partition(0));
   }
 
-  private void judge(
+  private void check(
       LimitSimulation simulation, long seed, Fault first, Fault second, long lastFaultAt) {
-    String play = "seed " + seed + " " + first + "+" + second;
+    String run = "seed " + seed + " " + first + "+" + second;
     boolean oneFault = first == Fault.NONE || second == Fault.NONE;
-    long loweredFrom = lastFaultAt + (oneFault ? 0 : FAULT_MILLIS) + APPLY_MILLIS;
+    long loweredFrom = lastFaultAt + (oneFault ? 0 : MAX_FAULT_MILLIS) + APPLY_MILLIS;
     double sum = 0;
     for (TenantTraffic traffic : simulation.traffics) {
-      String what = play + " " + traffic.tenant;
+      String what = run + " " + traffic.tenant;
       boolean lowered =
           traffic.tenant.equals("hot")
               && (first == Fault.LIMIT_LOWERED || second == Fault.LIMIT_LOWERED);
-      double most = traffic.mostInWindow(lowered ? loweredFrom : 0);
-      if (most > traffic.bound()) {
-        failures.add(what + " sent " + most + " of " + traffic.bound());
+      double max = traffic.maxInWindow(lowered ? loweredFrom : 0);
+      if (max > traffic.bound()) {
+        failures.add(what + " sent " + max + " of " + traffic.bound());
       }
-      sum += Math.min(1, traffic.passedOfOwed());
+      sum += Math.min(1, traffic.admittedFraction());
     }
     double mean = sum / simulation.traffics.size();
     sumOfMeans += mean;
-    if (mean < leastPassed(first, second)) {
-      failures.add(play + " passed " + mean + " over all tenants");
+    if (mean < minAdmitted(first, second)) {
+      failures.add(run + " admitted " + mean + " over all tenants");
     }
   }
 
-  private static double leastPassed(Fault first, Fault second) {
+  private static double minAdmitted(Fault first, Fault second) {
     boolean allRestarted = first == Fault.ALL_RESTARTED || second == Fault.ALL_RESTARTED;
     boolean oneFault = first == Fault.NONE || second == Fault.NONE;
-    return allRestarted && !oneFault ? LEAST_PASSED_ALL_RESTARTED : LEAST_PASSED;
+    return allRestarted && !oneFault ? MIN_ADMITTED_ALL_RESTARTED : MIN_ADMITTED;
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/limit/RetryBudgetTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/RetryBudgetTest.java
@@ -6,7 +6,7 @@
 
 import org.testng.annotations.Test;
 
-/** Retries are bounded to a share of the requests of a window. */
+/** Tests that retries are limited to a fraction of the requests in a window. */
 public final class RetryBudgetTest {
 
   private static final long WINDOW = 10_000;
@@ -26,13 +26,16 @@
     RetryBudget budget = RetryBudget.ofNode(0.2, 0, WINDOW);
     int granted = 0;
     for (long now = 0; now < WINDOW; now += 10) {
-      budget.requested("pool", now);
+      budget.recordRequest("pool", now);
       granted += budget.tryRetry("pool", now) ? 1 : 0;
     }
     assertEquals(granted, 200);
   }
 
-  /** A constant allowance a node would allow 316 retries here. */
+  /**
+   * Guards against an allowance per node that does not depend on the number of nodes: it allowed
+   * 316 retries here.
+   */
   @Test
   public void manyNodesTogetherKeepToTheBudgetOfTheDeployment() {
     int nodes = 79;
@@ -43,7 +46,7 @@
     for (int node = 0; node < nodes; node++) {
       RetryBudget budget = RetryBudget.ofDeployment(ratio, slack, WINDOW, () -> nodes);
       for (int request = 0; request < 4; request++) {
-        budget.requested("pool", 0);
+        budget.recordRequest("pool", 0);
         requests++;
       }
       while (budget.tryRetry("pool", 1)) {
--- a/gateway/src/test/java/org/lockdale/gateway/limit/ShareLenderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/ShareLenderTest.java
@@ -6,59 +6,59 @@
 
 import org.testng.annotations.Test;
 
-/** A share is lent to one relay at a time. */
+/** Tests that a share is lent to one relay at a time. */
 public final class ShareLenderTest {
 
   private static final long TERM = ShareLender.TERM_MILLIS;
-  private static final long LATER = 100_000;
+  private static final long START = 100_000;
 
-  private static ShareLender.Heartbeat heartbeat(String relay, long heardAt) {
-    return new ShareLender.Heartbeat(relay, 1, heardAt + 7, heardAt);
+  private static ShareLender.Heartbeat heartbeat(String relay, long receivedAt) {
+    return new ShareLender.Heartbeat(relay, 1, receivedAt + 7, receivedAt);
   }
 
-  private static boolean lends(ShareLender lender, String relay, long heardAt, long now) {
-    return lender.lend(heartbeat(relay, heardAt), now);
+  private static boolean lends(ShareLender lender, String relay, long receivedAt, long now) {
+    return lender.lend(heartbeat(relay, receivedAt), now);
   }
 
   @Test
-  public void aNodeThatHasJustStartedLendsNothingThatItsEarlierLifeMayHaveLent() {
-    ShareLender lender = new ShareLender(LATER);
-    assertFalse(lends(lender, "a", LATER + TERM - 1, LATER + TERM - 1));
-    assertTrue(lends(lender, "a", LATER + TERM, LATER + TERM));
+  public void aNodeThatHasJustStartedLendsNothingThatItsFormerIncarnationMayHaveLent() {
+    ShareLender lender = new ShareLender(START);
+    assertFalse(lends(lender, "a", START + TERM - 1, START + TERM - 1));
+    assertTrue(lends(lender, "a", START + TERM, START + TERM));
   }
 
   @Test
   public void anotherRelayGetsNothingUntilTheLoanHasEnded() {
     ShareLender lender = new ShareLender(0);
-    assertTrue(lends(lender, "a", LATER, LATER));
-    assertFalse(lends(lender, "b", LATER + 1, LATER + 1));
-    assertFalse(lends(lender, "b", LATER + TERM - 1, LATER + TERM - 1));
-    assertTrue(lends(lender, "b", LATER + TERM - 1, LATER + TERM));
-    assertFalse(lends(lender, "a", LATER + TERM, LATER + TERM));
+    assertTrue(lends(lender, "a", START, START));
+    assertFalse(lends(lender, "b", START + 1, START + 1));
+    assertFalse(lends(lender, "b", START + TERM - 1, START + TERM - 1));
+    assertTrue(lends(lender, "b", START + TERM - 1, START + TERM));
+    assertFalse(lends(lender, "a", START + TERM, START + TERM));
   }
 
   @Test
   public void anOldHeartbeatIsNotAnswered() {
-    assertFalse(lends(new ShareLender(0), "a", LATER, LATER + TERM));
+    assertFalse(lends(new ShareLender(0), "a", START, START + TERM));
   }
 
   @Test
   public void aShareThatWasGivenBackIsLentAtOnce() {
     ShareLender lender = new ShareLender(0);
-    assertTrue(lends(lender, "a", LATER, LATER));
-    assertTrue(lender.recall("a", LATER + 1).isEmpty());
-    assertEquals(lender.recall("b", LATER + 1).orElseThrow(), heartbeat("a", LATER));
-    lender.released("a", 1, LATER + 7, LATER + 2);
-    assertTrue(lends(lender, "b", LATER + 2, LATER + 2));
+    assertTrue(lends(lender, "a", START, START));
+    assertTrue(lender.recall("a", START + 1).isEmpty());
+    assertEquals(lender.recall("b", START + 1).orElseThrow(), heartbeat("a", START));
+    lender.released("a", 1, START + 7, START + 2);
+    assertTrue(lends(lender, "b", START + 2, START + 2));
   }
 
   @Test
   public void theConfirmationOfAnEarlierLoanFreesNothing() {
     ShareLender lender = new ShareLender(0);
-    assertTrue(lends(lender, "a", LATER, LATER));
-    assertTrue(lends(lender, "a", LATER + 500, LATER + 500));
-    lender.released("a", 1, LATER + 7, LATER + 501);
-    lender.released("a", 2, LATER + 507, LATER + 501);
-    assertFalse(lends(lender, "b", LATER + 501, LATER + 501));
+    assertTrue(lends(lender, "a", START, START));
+    assertTrue(lends(lender, "a", START + 500, START + 500));
+    lender.released("a", 1, START + 7, START + 501);
+    lender.released("a", 2, START + 507, START + 501);
+    assertFalse(lends(lender, "b", START + 501, START + 501));
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/limit/TenantBucketsTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/TenantBucketsTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** Buckets gain and hold what the shares at hand allow. */
+/** Tests that buckets gain and hold what the borrowed shares allow. */
 public final class TenantBucketsTest {
 
   private static final String TENANT = "tenant-one";
@@ -15,8 +15,8 @@
   private static final long FOREVER = 1_000_000;
   private static final long WINDOW = 8_000;
 
-  /** Time after which a reserve may be used again. */
-  private static final long REST = WINDOW + Allowance.MAX_RETURN_MILLIS;
+  /** Time after which a reserve may be used again, in milliseconds. */
+  private static final long REUSE = WINDOW + Allowance.MAX_RETURN_MILLIS;
 
   private static TenantBuckets buckets() {
     TenantBuckets buckets = new TenantBuckets(WINDOW, 0);
@@ -72,16 +72,16 @@
   }
 
   @Test
-  public void whatIsMissingTellsWhenToComeBack() {
+  public void retryTimeIsTheTimeUntilTheRequestFits() {
     TenantBuckets buckets = buckets();
     buckets.lent("a", 1.0, FOREVER, 0);
     assertEquals(buckets.take(TENANT, 400, 200).orElseThrow(), 200);
     assertTrue(takes(buckets, 400, 400));
   }
 
-  /** Callers wait as long as they are told, so that a long time makes them late for nothing. */
+  /** Callers wait for the time that they are given, so a long one would delay them needlessly. */
   @Test
-  public void whereSharesAreMissingRequestsComeBackSoon() {
+  public void retryTimeIsShortWhileSharesAreMissing() {
     TenantBuckets buckets = buckets();
     assertEquals(buckets.take(TENANT, 10, 200).orElseThrow(), 300);
   }
@@ -119,26 +119,26 @@
   public void aReserveServesOnceInAWindow() {
     TenantBuckets buckets = buckets();
     buckets.reserveLent("a", 0.5, FOREVER, 0);
-    assertTrue(takes(buckets, 100, REST));
-    assertFalse(takes(buckets, 151, REST));
-    assertTrue(takes(buckets, 150, REST + 1));
-    assertFalse(takes(buckets, 1, 2 * REST));
-    assertTrue(takes(buckets, 250, 2 * REST + 1));
+    assertTrue(takes(buckets, 100, REUSE));
+    assertFalse(takes(buckets, 151, REUSE));
+    assertTrue(takes(buckets, 150, REUSE + 1));
+    assertFalse(takes(buckets, 1, 2 * REUSE));
+    assertTrue(takes(buckets, 250, 2 * REUSE + 1));
   }
 
   @Test
   public void aReserveThatMayHaveServedElsewhereHasToRest() {
     TenantBuckets buckets = buckets();
     buckets.reserveLent("a", 1.0, 5_000, 0);
-    buckets.reserveLent("a", 1.0, 2 * REST, 4_000);
-    assertFalse(takes(buckets, 1, REST - 1));
-    assertTrue(takes(buckets, 1, REST));
-    buckets.releaseReserve("a", 2 * REST, REST + 1);
-    buckets.reserveLent("a", 1.0, 2 * REST, REST + 2);
-    assertFalse(takes(buckets, 1, REST + 2));
-    buckets.reserveLent("a", 1.0, FOREVER, REST + 2);
-    assertFalse(takes(buckets, 1, 2 * REST + 1));
-    assertTrue(takes(buckets, 1, 2 * REST + 2));
+    buckets.reserveLent("a", 1.0, 2 * REUSE, 4_000);
+    assertFalse(takes(buckets, 1, REUSE - 1));
+    assertTrue(takes(buckets, 1, REUSE));
+    buckets.releaseReserve("a", 2 * REUSE, REUSE + 1);
+    buckets.reserveLent("a", 1.0, 2 * REUSE, REUSE + 2);
+    assertFalse(takes(buckets, 1, REUSE + 2));
+    buckets.reserveLent("a", 1.0, FOREVER, REUSE + 2);
+    assertFalse(takes(buckets, 1, 2 * REUSE + 1));
+    assertTrue(takes(buckets, 1, 2 * REUSE + 2));
   }
 
   @Test
@@ -157,7 +157,9 @@
     assertTrue(buckets().take("tenant-two", 1e9, 0).isEmpty());
   }
 
-  /** What a tenant may send does not grow while the machine is suspended, and loans end. */
+  /**
+   * Guards against buckets that gain, or loans that do not end, during a suspension of the machine.
+   */
   @Test
   public void aSuspensionBringsNoLevelAndEndsLoans() {
     TenantBuckets buckets = buckets();
--- a/gateway/src/test/java/org/lockdale/gateway/limit/TenantTraffic.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/TenantTraffic.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 import org.lockdale.gateway.configuration.TenantLimit;
 
-/** A tenant of a simulation, what was asked for it and what was sent. */
+/** A simulated tenant: its demand, what a single bucket would admit, and what was sent. */
 final class TenantTraffic {
 
   private record Sent(long atMillis, double amount) {}
@@ -16,53 +16,56 @@
   final TenantLimit limit;
   final Predicate<LimitSimulation.Node> receives;
   private final List<Sent> sent = new ArrayList<>();
-  private TenantLimit limitNow;
+  private TenantLimit currentLimit;
   private double level;
   private long levelAtMillis;
-  double owed;
-  double passed;
+  double expected;
+  double admitted;
 
   TenantTraffic(String tenant, TenantLimit limit, Predicate<LimitSimulation.Node> receives) {
     this.tenant = tenant;
     this.limit = limit;
-    this.limitNow = limit;
+    this.currentLimit = limit;
     this.receives = receives;
     this.level = limit.burst();
   }
 
-  /** A single bucket of the whole limit tells what is owed. */
-  void asked(double amount, long nowMillis) {
-    level += (nowMillis - levelAtMillis) * limitNow.ratePerSecond() / 1_000;
-    level = Math.min(level, limitNow.burst());
+  /**
+   * Records a request for the tenant. A reference bucket with the whole limit determines whether it
+   * should be admitted.
+   */
+  void recordDemand(double amount, long nowMillis) {
+    level += (nowMillis - levelAtMillis) * currentLimit.ratePerSecond() / 1_000;
+    level = Math.min(level, currentLimit.burst());
     levelAtMillis = nowMillis;
     if (level >= amount) {
       level -= amount;
-      owed += amount;
+      expected += amount;
     }
   }
 
-  /** Notes what was sent on. */
-  void sent(long nowMillis, double amount) {
+  /** Records a request that was sent. */
+  void recordSent(long nowMillis, double amount) {
     sent.add(new Sent(nowMillis, amount));
   }
 
-  /** Takes in a new limit. */
-  void limitNow(TenantLimit newer) {
-    limitNow = newer;
+  /** Changes the limit of the tenant. */
+  void setLimit(TenantLimit newer) {
+    currentLimit = newer;
   }
 
-  TenantLimit limitNow() {
-    return limitNow;
+  TenantLimit currentLimit() {
+    return currentLimit;
   }
 
-  double passedOfOwed() {
-    return owed == 0 ? 1 : passed / owed;
+  double admittedFraction() {
+    return expected == 0 ? 1 : admitted / expected;
   }
 
-  /** Returns the most that was sent in a window that begins at some time or later. */
-  double mostInWindow(long fromMillis) {
+  /** Returns the maximum amount that was sent in any window that begins at a time or later. */
+  double maxInWindow(long fromMillis) {
     double sum = 0;
-    double most = 0;
+    double max = 0;
     Deque<Sent> window = new ArrayDeque<>();
     for (Sent each : sent) {
       if (each.atMillis() < fromMillis) {
@@ -73,14 +76,14 @@
       while (window.peek().atMillis() <= each.atMillis() - LimitSimulation.WINDOW_MILLIS) {
         sum -= window.poll().amount();
       }
-      most = Math.max(most, sum);
+      max = Math.max(max, sum);
     }
-    return most;
+    return max;
   }
 
   double bound() {
     double window =
-        limitNow.ratePerSecond() * LimitSimulation.WINDOW_MILLIS / 1_000 + limitNow.burst();
+        currentLimit.ratePerSecond() * LimitSimulation.WINDOW_MILLIS / 1_000 + currentLimit.burst();
     return window * (1 + LimitSimulation.BOUND.overshoot()) + LimitSimulation.BOUND.slack();
   }
 }
