--- a/gateway/src/main/java/org/lockdale/gateway/limit/Deciders.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/Deciders.java
@@ -5,10 +5,10 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Selects the limit relay: the relay node that decides on limits. The level of its buckets depends
- * on the shares that it has held over time, so a relay that holds most shares is preferred over a
- * more senior one that has returned. At most one relay can hold more than half of the shares, so
- * all nodes select the same one.
+ * Selects the limit relay: the relay node that decides on limits. The level of the buckets of a
+ * relay depends on the shares that it has held over time, so a relay that holds most shares is
+ * preferred over a more senior one that has returned. At most one relay can hold more than half of
+ * the shares, so all nodes select the same one.
  */
 public final class Deciders {
 
--- a/gateway/src/main/java/org/lockdale/gateway/limit/TenantBuckets.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/TenantBuckets.java
@@ -9,8 +9,8 @@
  * shares of the limits. A bucket gains and holds no more than the borrowed shares allow, so that
  * all such nodes together keep to the limits, however many there are. Buckets start empty, so that
  * a restart gains nothing. They never go below zero, since a successor would not know a relay's
- * debt. Nodes also lend their shares of a reserve, which may be used once per window when a bucket
- * is empty. Performs no I/O; the time is passed in. Not thread-safe.
+ * debt. Nodes also lend their shares of a reserve, which may be used once per window when the level
+ * of a bucket is too low. Performs no I/O; the time is passed in. Not thread-safe.
  */
 public final class TenantBuckets {
 
--- a/gateway/src/main/java/org/lockdale/gateway/limit/TenantLimiter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/TenantLimiter.java
@@ -16,6 +16,6 @@
    */
   CompletableFuture<Admission> admit(String tenant, TenantLimit limit, double amount);
 
-  /** Returns the amount of a request that was not run and never will be. */
+  /** Refunds the amount of a request that was not run and never will be. */
   void giveBack(Admission.Granted granted);
 }
--- a/gateway/src/main/java/org/lockdale/gateway/rate/BackendRates.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/BackendRates.java
@@ -11,23 +11,24 @@
 import org.tinylog.Logger;
 
 /**
- * What this node knows of the rates that back ends name, and what it may send to those. Safe for
- * use by several threads; costs nothing while no back end names a rate.
+ * The rate limits that backends advertise and the requests that this node may send to them.
+ * Thread-safe; takes no lock while no backend advertises a rate.
  */
 public final class BackendRates {
 
-  /** Receives what answers to this node say of rates, on any thread. */
+  /** Receives the rate limits in the answers to this node, on any thread. */
   @FunctionalInterface
   public interface Listener {
 
     /**
-     * An answer names a rate, or none though its back end named one before.
+     * Called when an answer advertises a rate, or none though its backend advertised one until
+     * recently.
      *
-     * @param backend text form of the back end's incarnation
-     * @param statement what the answer says
-     * @param sentAtMillis monotonic time at which its request was sent
-     * @param heardAtMillis monotonic time at which it began to be heard
-     * @param isNews whether this node believes something else now
+     * @param backend text form of the backend's incarnation
+     * @param statement rate limit in the answer
+     * @param sentAtMillis monotonic time at which the request was sent
+     * @param heardAtMillis monotonic time at which the first part of the answer was received
+     * @param isNews whether the answer changed the rate limit known to this node
      */
     void heard(
         String backend,
@@ -37,51 +38,59 @@
         boolean isNews);
   }
 
-  /** A rate of which nothing was heard for so long may have ended without this node. */
-  private static final long LATELY_MILLIS = 15_000;
+  /**
+   * Time after which a rate that was not advertised again may have ended without this node having
+   * noticed, in milliseconds.
+   */
+  private static final long RECENT_MILLIS = 15_000;
 
-  /** What was sent to limited back ends is logged each such time. */
-  private static final long LOG_MILLIS = 4_000;
+  /**
+   * Interval at which the numbers of requests sent to limited backends are logged, in milliseconds.
+   */
+  private static final long LOG_INTERVAL_MILLIS = 4_000;
 
-  /** Back ends of which such a line tells; many may name rates at once. */
+  /** Maximum number of backends that are logged each time; many may advertise rates at once. */
   private static final int MAX_LOGGED = 16;
 
-  /** What a back end bears after a rest is not known; this spreads callers, and delays few. */
-  private static final double RETURNS_AFTER_A_REST_PER_SECOND = 50;
+  /**
+   * Rate at which callers are told to retry after a backoff. What a backend accepts then is
+   * unknown; this spreads the callers, and delays few of them.
+   */
+  private static final double RETRIES_AFTER_BACKOFF_PER_SECOND = 50;
 
   private final Time time;
-  private final StatedRates stated = new StatedRates();
+  private final StatedRates advertised = new StatedRates();
   private final RateAllowances allowances;
-  private final ComeBackSchedule comeBacks = new ComeBackSchedule();
+  private final RetryAfterSchedule retrySchedule = new RetryAfterSchedule();
   private final Map<String, Long> sends = new HashMap<>();
   private final Map<String, Long> loggedSends = new HashMap<>();
-  private volatile Listener listener = (backend, statement, sentAt, heardAt, isNews) -> {};
+  private volatile Listener listener = (backend, statement, sentAt, receivedAt, isNews) -> {};
   private long loggedAtMillis;
   private long delays;
 
-  /** Whether a back end names a rate or did so a moment ago. */
-  private volatile boolean any;
+  /** Whether any backend advertises a rate or did so until recently. */
+  private volatile boolean anyKnown;
 
-  /** Creates a node's knowledge of no rates. */
+  /** Creates the rates of a node at which no backend has advertised one yet. */
   public BackendRates(Time time) {
     this.time = time;
     this.allowances = new RateAllowances(time.monotonicMillis());
   }
 
-  /** Tells a listener of answers to this node from now on. */
+  /** Sets the listener for answers to this node, in place of any former one. */
   public void tell(Listener newListener) {
     listener = newListener;
   }
 
   /**
-   * Takes in what an answer to this node says.
+   * Processes the rate limit of an answer to this node.
    *
-   * @param backend text form of the back end's incarnation
-   * @param statement what the answer says
-   * @param sentAtMillis monotonic time at which the answer's request was sent
+   * @param backend text form of the backend's incarnation
+   * @param statement rate limit in the answer
+   * @param sentAtMillis monotonic time at which the request was sent
    */
   public void stated(String backend, RateStatement statement, long sentAtMillis) {
-    if (!any && statement instanceof RateStatement.None) {
+    if (!anyKnown && statement instanceof RateStatement.None) {
       return;
     }
     if (statement instanceof RateStatement.Unreadable unreadable) {
@@ -89,23 +98,24 @@
       return;
     }
     long now = time.monotonicMillis();
-    // Also for a time after the end: a relay that the first such answer did not reach believes on.
-    boolean tells = statement instanceof RateStatement.Limited || isKnown(backend);
-    boolean news = takeIn(backend, statement, sentAtMillis, now, "answer");
-    if (tells) {
-      listener.heard(backend, statement, sentAtMillis, now, news);
+    // Also notified for some time after a limit ended: a relay that did not receive the first
+    // answer without one would keep it.
+    boolean notifies = statement instanceof RateStatement.Limited || isKnown(backend);
+    boolean isNews = record(backend, statement, sentAtMillis, now, "answer");
+    if (notifies) {
+      listener.heard(backend, statement, sentAtMillis, now, isNews);
     }
   }
 
   /**
-   * Takes in what another node heard in an answer.
+   * Processes the rate limit of an answer to another node.
    *
-   * @param sender id of the node that told it
-   * @param backend text form of the back end's incarnation
-   * @param statement what the answer says
-   * @param sentAtMillis monotonic time before which the answer's request was sent
-   * @param heardAtMillis monotonic time at which the answer began to be heard
-   * @return whether this node believes something else now
+   * @param sender id of the node that reported it
+   * @param backend text form of the backend's incarnation
+   * @param statement rate limit in the answer
+   * @param sentAtMillis monotonic time before which the request was sent
+   * @param heardAtMillis monotonic time at which the first part of the answer was received
+   * @return whether the answer changed the rate limit known to this node
    */
   public boolean told(
       String sender,
@@ -113,75 +123,89 @@
       RateStatement statement,
       long sentAtMillis,
       long heardAtMillis) {
-    return takeIn(backend, statement, sentAtMillis, heardAtMillis, sender);
+    return record(backend, statement, sentAtMillis, heardAtMillis, sender);
   }
 
-  private synchronized boolean takeIn(
-      String backend, RateStatement statement, long sentAt, long heardAt, String source) {
-    StatedRates.Change change = stated.stated(backend, statement, sentAt, heardAt);
-    any = !stated.isEmpty();
+  private synchronized boolean record(
+      String backend,
+      RateStatement statement,
+      long sentAtMillis,
+      long receivedAtMillis,
+      String source) {
+    StatedRates.Change change =
+        advertised.record(backend, statement, sentAtMillis, receivedAtMillis);
+    anyKnown = !advertised.isEmpty();
     switch (change) {
       case LIMITED -> {
-        double perSecond = stated.perSecond(backend).orElseThrow();
-        allowances.limit(backend, perSecond, time.monotonicMillis());
+        double perSecond = advertised.perSecond(backend).orElseThrow();
+        allowances.setRate(backend, perSecond, time.monotonicMillis());
         Logger.info(
             "event=rate-named backend={} per-second={} source={}", backend, perSecond, source);
       }
       case ENDED -> {
-        allowances.unlimit(backend);
+        allowances.removeRate(backend);
         Logger.info("event=rate-ended backend={} source={}", backend, source);
       }
       default -> {
-        // Most answers of a limited back end say what the one before said.
+        // Most answers repeat the rate of the previous one.
       }
     }
     return change != StatedRates.Change.NONE;
   }
 
   private synchronized boolean isKnown(String backend) {
-    return stated.isKnown(backend);
+    return advertised.isKnown(backend);
   }
 
-  /** Returns whether a back end is believed to name a rate. */
+  /** Returns whether a backend advertises a rate. */
   public boolean isLimited(String backend) {
-    return any && named(backend).isPresent();
+    return anyKnown && named(backend).isPresent();
   }
 
-  /** Returns whether this node heard not long ago that a back end names a rate. */
+  /**
+   * Returns whether a backend advertises a rate and the answer that determines it was received
+   * recently.
+   */
   public boolean wasNamedLately(String backend) {
-    return any
+    return anyKnown
         && named(backend)
-            .filter(named -> time.monotonicMillis() - named.heardAtMillis() < LATELY_MILLIS)
+            .filter(rate -> time.monotonicMillis() - rate.heardAtMillis() < RECENT_MILLIS)
             .isPresent();
   }
 
-  /** Returns what a back end said that names a rate, or empty where it names none. */
+  /**
+   * Returns the lowest rate among the latest answers of a backend, or empty if it advertises none.
+   */
   public synchronized Optional<StatedRates.Statement> named(String backend) {
-    return stated.named(backend);
+    return advertised.lowest(backend);
   }
 
-  /** Returns whether some back end is believed to name a rate. */
+  /** Returns whether any backend advertises a rate. */
   public boolean isAnyLimited() {
-    return any && !limited().isEmpty();
+    return anyKnown && !limited().isEmpty();
   }
 
-  /** Returns the back ends that name a rate, with what the least of their latest answers said. */
+  /** Returns the lowest rate among the latest answers, by backend, of those that advertise one. */
   public synchronized Map<String, StatedRates.Statement> limited() {
-    return stated.limited();
+    return advertised.limited();
   }
 
-  /** Returns whether this node may send a request to a back end now. */
+  /** Returns whether this node may send a request to a backend now. */
   public boolean hasRoom(String backend) {
-    return !any || hasRoomLocked(backend);
+    return !anyKnown || hasRoomLocked(backend);
   }
 
   private synchronized boolean hasRoomLocked(String backend) {
     return allowances.hasRoom(backend, time.monotonicMillis());
   }
 
-  /** Counts a request to a back end, if this node may send one there now. */
+  /**
+   * Deducts a request to a backend, if this node may send one now.
+   *
+   * @return whether it may be sent
+   */
   public boolean tryTake(String backend) {
-    return !any || tryTakeLocked(backend);
+    return !anyKnown || tryTakeLocked(backend);
   }
 
   private synchronized boolean tryTakeLocked(String backend) {
@@ -189,22 +213,23 @@
   }
 
   /**
-   * Returns when a caller is to come back to a pool whose back ends take no more now, in
-   * milliseconds.
+   * Returns the time after which a caller should retry at a pool whose backends accept no more
+   * requests now, in milliseconds.
    *
    * @param pool name of the pool
-   * @param backends its back ends that could serve the caller but for their rates
-   * @param restMillis time until the first of its others has rested, or {@link Long#MAX_VALUE}
+   * @param backends its backends that could serve the caller except for their rates
+   * @param backoffMillis time until the first of its other backends ends its backoff, or {@link
+   *     Long#MAX_VALUE}
    */
   public synchronized long comeBackMillis(
-      String pool, Collection<String> backends, long restMillis) {
+      String pool, Collection<String> backends, long backoffMillis) {
     delays++;
     long now = time.monotonicMillis();
     double soonest = Double.POSITIVE_INFINITY;
     double perSecond = 0;
-    if (restMillis < Long.MAX_VALUE) {
-      soonest = restMillis;
-      perSecond = RETURNS_AFTER_A_REST_PER_SECOND;
+    if (backoffMillis < Long.MAX_VALUE) {
+      soonest = backoffMillis;
+      perSecond = RETRIES_AFTER_BACKOFF_PER_SECOND;
     }
     for (String backend : backends) {
       double wait = allowances.waitMillis(backend, now);
@@ -213,15 +238,15 @@
         perSecond += allowances.perSecond(backend);
       }
     }
-    return comeBacks.next(pool, soonest, perSecond, now);
+    return retrySchedule.next(pool, soonest, perSecond, now);
   }
 
-  /** Takes in that a node lends its share of all rates until a time. */
+  /** Records that a node lends its share of all rates until a time. */
   public synchronized void lent(String node, double share, long untilMillis) {
     allowances.lent(node, share, untilMillis, time.monotonicMillis());
   }
 
-  /** Gives a node's share back. A loan that ends no later and comes in after this is ignored. */
+  /** Releases the share of a node. A loan that ends no later and arrives after this is ignored. */
   public synchronized void release(String node, long untilMillis) {
     allowances.release(node, untilMillis, time.monotonicMillis());
   }
@@ -236,31 +261,35 @@
     return allowances.isLentBy(node, time.monotonicMillis());
   }
 
-  /** Notes that this node sends a request to a back end. */
+  /** Records that this node sends a request to a backend. */
   public void sent(String backend) {
-    if (any) {
+    if (anyKnown) {
       count(backend);
     }
   }
 
   private synchronized void count(String backend) {
-    if (stated.perSecond(backend).isPresent()) {
+    if (advertised.perSecond(backend).isPresent()) {
       sends.merge(backend, 1L, Long::sum);
     }
   }
 
-  /** Forgets back ends that are gone, and tells from time to time what was sent to the others. */
+  /**
+   * Removes backends that no longer exist, and periodically logs what was sent to the others.
+   *
+   * @param backends the existing ones
+   */
   public synchronized void tick(Set<String> backends) {
-    if (!any) {
+    if (!anyKnown) {
       return;
     }
     long now = time.monotonicMillis();
-    stated.retain(backends, now);
+    advertised.retain(backends, now);
     allowances.retain(backends);
-    any = !stated.isEmpty();
+    anyKnown = !advertised.isEmpty();
     sends.keySet().retainAll(backends);
     loggedSends.keySet().retainAll(backends);
-    if (now - loggedAtMillis >= LOG_MILLIS) {
+    if (now - loggedAtMillis >= LOG_INTERVAL_MILLIS) {
       loggedAtMillis = now;
       sends.entrySet().stream()
           .filter(sent -> sent.getValue() > loggedSends.getOrDefault(sent.getKey(), 0L))
@@ -275,17 +304,20 @@
     Logger.info(
         "event=rate-sends backend={} per-second={} sends={} share={}",
         backend,
-        stated.perSecond(backend).orElse(Double.NaN),
+        advertised.perSecond(backend).orElse(Double.NaN),
         sent.getValue() - loggedSends.getOrDefault(backend, 0L),
         allowances.share(time.monotonicMillis()));
   }
 
-  /** Returns what this node has sent to back ends while they named rates, by their ids. */
+  /**
+   * Returns the number of requests that this node has sent to backends while they advertised rates,
+   * by backend id.
+   */
   public synchronized Map<String, Long> sends() {
     return new TreeMap<>(sends);
   }
 
-  /** Returns how often this node could place nothing since back ends took no more. */
+  /** Returns how many requests were delayed because the backends accepted no more. */
   public synchronized long delays() {
     return delays;
   }
--- a/gateway/src/main/java/org/lockdale/gateway/rate/RateAllowances.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/RateAllowances.java
@@ -6,82 +6,90 @@
 import org.lockdale.gateway.limit.ShareLoans;
 
 /**
- * Requests that this node may let go to back ends which name a rate. Nodes lend their shares of all
- * rates to the node that places their requests; a share counts at one node at a time, so however
- * many nodes place requests, they keep to each rate together. A count begins empty, since others
- * may have sent what the rate allows. Without I/O; time is injected; not safe for use by several
- * threads.
+ * Number of requests that this node may send to backends that advertise a rate limit. Nodes lend
+ * their shares of all rates to the node that places their requests; a share counts at one node at a
+ * time, so all nodes together keep to each rate, however many of them place requests. A bucket
+ * starts empty, since other nodes may have used up the rate. Performs no I/O; the time is passed
+ * in. Not thread-safe.
  */
 public final class RateAllowances {
 
   private static final double WHOLE_REQUEST = 1;
 
-  /** What sums of small gains may lack by rounding. */
+  /** Rounding error of sums of small gains. */
   private static final double ROUNDING = 1e-6;
 
   private static final class Bucket {
     private RateBound bound;
     private double level;
 
-    /** Value of {@link #lentMillis} up to which the level counts. */
-    private double lentMillis;
+    /** Value of {@link #shareMillis} up to which the level is computed. */
+    private double shareMillis;
 
-    Bucket(RateBound bound, double lentMillis) {
+    Bucket(RateBound bound, double shareMillis) {
       this.bound = bound;
-      this.lentMillis = lentMillis;
+      this.shareMillis = shareMillis;
     }
 
-    void settle(double lentMillisNow, double share) {
-      level = Math.min(level + bound.gained(lentMillisNow - lentMillis), bound.capacity(share));
-      lentMillis = lentMillisNow;
+    void settle(double shareMillisNow, double share) {
+      level = Math.min(level + bound.gain(shareMillisNow - shareMillis), bound.capacity(share));
+      shareMillis = shareMillisNow;
     }
   }
 
   private final ShareLoans shares = new ShareLoans();
   private final Map<String, Bucket> buckets = new HashMap<>();
 
-  /** Sum of the shares over time: one share of 1 adds 1 a millisecond. */
-  private double lentMillis;
+  /** Integral of the borrowed shares over time: a share of 1 adds 1 per millisecond. */
+  private double shareMillis;
 
-  private long atMillis;
+  private long updatedAtMillis;
 
-  /** Creates the allowances of a node that nobody has lent a share to. */
+  /** Creates the allowances of a node that has borrowed no shares. */
   public RateAllowances(long nowMillis) {
-    this.atMillis = nowMillis;
+    this.updatedAtMillis = nowMillis;
   }
 
-  /** Takes in that a back end takes a rate. */
-  public void limit(String backend, double perSecond, long nowMillis) {
+  /** Sets the rate that a backend advertises, in requests per second. */
+  public void setRate(String backend, double perSecond, long nowMillis) {
     advance(nowMillis);
     RateBound bound = new RateBound(perSecond);
-    Bucket bucket = buckets.computeIfAbsent(backend, id -> new Bucket(bound, lentMillis));
-    bucket.settle(lentMillis, shares.share());
+    Bucket bucket = buckets.computeIfAbsent(backend, id -> new Bucket(bound, shareMillis));
+    bucket.settle(shareMillis, shares.share());
     bucket.bound = bound;
-    bucket.settle(lentMillis, shares.share());
+    bucket.settle(shareMillis, shares.share());
   }
 
-  /** Takes in that a back end names no rate any more. */
-  public void unlimit(String backend) {
+  /** Removes the rate of a backend that no longer advertises one. */
+  public void removeRate(String backend) {
     buckets.remove(backend);
   }
 
-  /** Forgets back ends that are gone. */
+  /**
+   * Removes backends that no longer exist.
+   *
+   * @param backends the existing ones
+   */
   public void retain(Set<String> backends) {
     buckets.keySet().retainAll(backends);
   }
 
-  /** Returns whether a request may go to a back end now. */
+  /** Returns whether a request may be sent to a backend now. */
   public boolean hasRoom(String backend, long nowMillis) {
     Bucket bucket = buckets.get(backend);
     if (bucket == null) {
       return true;
     }
     advance(nowMillis);
-    bucket.settle(lentMillis, shares.share());
+    bucket.settle(shareMillis, shares.share());
     return bucket.level >= WHOLE_REQUEST - ROUNDING;
   }
 
-  /** Counts a request to a back end, if one may go there now. */
+  /**
+   * Deducts a request to a backend, if one may be sent now.
+   *
+   * @return whether it may be sent
+   */
   public boolean tryTake(String backend, long nowMillis) {
     if (!hasRoom(backend, nowMillis)) {
       return false;
@@ -94,8 +102,8 @@
   }
 
   /**
-   * Returns after which time a request may go to a back end, in milliseconds, if the shares at hand
-   * stay; positive infinity where that is never.
+   * Returns the time after which a request may be sent to a backend if the borrowed shares do not
+   * change, in milliseconds; positive infinity if they are too small for any request.
    */
   public double waitMillis(String backend, long nowMillis) {
     if (hasRoom(backend, nowMillis)) {
@@ -105,32 +113,35 @@
     double share = shares.share();
     return bucket.bound.capacity(share) < WHOLE_REQUEST - ROUNDING
         ? Double.POSITIVE_INFINITY
-        : (WHOLE_REQUEST - bucket.level) / bucket.bound.gained(share);
+        : (WHOLE_REQUEST - bucket.level) / bucket.bound.gain(share);
   }
 
-  /** Returns the requests a second that this node may send to a back end with a rate. */
+  /**
+   * Returns the number of requests per second that this node may send to a backend; positive
+   * infinity if the backend has no rate.
+   */
   public double perSecond(String backend) {
     Bucket bucket = buckets.get(backend);
     return bucket == null ? Double.POSITIVE_INFINITY : bucket.bound.perSecond() * shares.share();
   }
 
-  /** Takes in that a node lends its share until a time, in place of what it lent before. */
+  /** Records that a node lends its share until a time, in place of its earlier loan. */
   public void lent(String node, double share, long untilMillis, long nowMillis) {
     advance(nowMillis);
     double before = shares.share();
     shares.lent(node, share, untilMillis, nowMillis);
-    settleAfter(before);
+    settleAfterShareChange(before);
   }
 
-  /** Gives a node's share back. A loan that ends no later and comes in after this is ignored. */
+  /** Releases the share of a node. A loan that ends no later and arrives after this is ignored. */
   public void release(String node, long untilMillis, long nowMillis) {
     advance(nowMillis);
     double before = shares.share();
     shares.release(node, untilMillis);
-    settleAfter(before);
+    settleAfterShareChange(before);
   }
 
-  /** Returns the sum of the shares at hand, from 0 to 1. */
+  /** Returns the sum of the borrowed shares, from 0 to 1. */
   public double share(long nowMillis) {
     advance(nowMillis);
     return shares.share();
@@ -147,23 +158,27 @@
       elapse(shares.nextEndMillis());
       double before = shares.share();
       shares.end(shares.nextEndMillis());
-      settleAfter(before);
+      settleAfterShareChange(before);
     }
     elapse(nowMillis);
   }
 
   private void elapse(long nowMillis) {
-    lentMillis += shares.share() * Math.max(0, nowMillis - atMillis);
-    atMillis = Math.max(atMillis, nowMillis);
+    shareMillis += shares.share() * Math.max(0, nowMillis - updatedAtMillis);
+    updatedAtMillis = Math.max(updatedAtMillis, nowMillis);
   }
 
-  /** Brings all levels up to date where the share has changed, which it held at until now. */
-  private void settleAfter(double shareBefore) {
+  /**
+   * Updates all levels after a change of the sum of the shares.
+   *
+   * @param shareBefore sum of the shares until now
+   */
+  private void settleAfterShareChange(double shareBefore) {
     double share = shares.share();
     if (share != shareBefore) {
       for (Bucket bucket : buckets.values()) {
-        bucket.settle(lentMillis, shareBefore);
-        bucket.settle(lentMillis, share);
+        bucket.settle(shareMillis, shareBefore);
+        bucket.settle(shareMillis, share);
       }
     }
   }
--- a/gateway/src/main/java/org/lockdale/gateway/rate/RateBound.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/RateBound.java
@@ -1,52 +1,62 @@
 package org.lockdale.gateway.rate;
 
 /**
- * What a node may send to a back end that names a rate. Shares of all nodes sum up to 1 at most, so
- * in any time all nodes together send what the rate gives in it, and {@link #capacity} of a whole
- * share besides.
+ * Limit on what a node may send to a backend that advertises a rate. The shares of all nodes sum up
+ * to at most 1, so in any period all nodes together send at most the rate times the period, plus
+ * the {@link #capacity} of a whole share.
  *
- * @param perSecond requests a second that all nodes together may send
+ * @param perSecond requests per second that all nodes together may send
  */
 record RateBound(double perSecond) {
 
   /**
-   * A back end that takes nothing gets a request now and then, since only an answer can tell that
-   * it takes some again.
+   * Minimum rate. A backend that accepts nothing is sent an occasional request, since only an
+   * answer can show that it accepts requests again.
    */
-  private static final double LEAST_PER_SECOND = 0.25;
+  private static final double MIN_PER_SECOND = 0.25;
 
   /**
-   * In four seconds a back end bears half as much again as its rate gives, and five requests. Half
-   * a second's worth and one and a half requests of that are kept for requests that were granted
-   * one after the other and arrive together.
+   * Part of the burst that a backend tolerates, as seconds of its rate. In any four seconds a
+   * backend tolerates 1.5 times its rate plus five requests, which is two seconds of its rate and
+   * five requests as a burst. Half a second of the rate and 1.5 requests of that are reserved for
+   * requests that were granted one after the other but arrive together.
    */
-  private static final double BORNE_SECONDS = 1.5;
+  private static final double TOLERATED_SECONDS = 1.5;
 
-  private static final double BORNE_REQUESTS = 3.5;
+  /** Part of the tolerated burst that does not depend on the rate, in requests. */
+  private static final double TOLERATED_REQUESTS = 3.5;
 
-  /** What a node that decides for all saves up, so that a short pause loses nothing. */
-  private static final double SAVED_SECONDS = 0.5;
+  /**
+   * Burst of a node that decides for all, as seconds of the rate, so that a short pause loses no
+   * capacity.
+   */
+  private static final double BURST_SECONDS = 0.5;
 
-  private static final double SAVED_REQUESTS = 2;
+  /** Burst of a node that decides for all that does not depend on the rate, in requests. */
+  private static final double BURST_REQUESTS = 2;
 
-  /** Raises the rate to the least one. */
+  /** Raises the rate to the minimum. */
   RateBound {
-    perSecond = Math.max(perSecond, LEAST_PER_SECOND);
+    perSecond = Math.max(perSecond, MIN_PER_SECOND);
   }
 
-  /** Returns what a share gains in a time. */
-  double gained(double shareMillis) {
+  /**
+   * Returns the number of requests that a share gains.
+   *
+   * @param shareMillis integral of the share over time, in milliseconds
+   */
+  double gain(double shareMillis) {
     return perSecond * shareMillis / 1_000;
   }
 
   /**
-   * Returns the most requests that a share saves up. A node by itself, as in a cut, has a share
-   * under which it would never gather one whole request; it may, where all that are by themselves
-   * together don't exceed what the back end bears.
+   * Returns the maximum number of requests that a share accumulates. The share of an isolated node,
+   * as in a network partition, may be too small to ever accumulate one whole request. It may still
+   * accumulate one if all isolated nodes together do not exceed what the backend tolerates.
    */
   double capacity(double share) {
-    double saved = (SAVED_SECONDS * perSecond + SAVED_REQUESTS) * share;
-    double borne = (BORNE_SECONDS * perSecond + BORNE_REQUESTS) * share;
-    return Math.max(saved, Math.min(1, borne));
+    double burst = (BURST_SECONDS * perSecond + BURST_REQUESTS) * share;
+    double tolerated = (TOLERATED_SECONDS * perSecond + TOLERATED_REQUESTS) * share;
+    return Math.max(burst, Math.min(1, tolerated));
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/rate/StatedRates.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/StatedRates.java
@@ -10,34 +10,39 @@
 import org.lockdale.gateway.backend.RateStatement;
 
 /**
- * Which rate each back end is believed to name. Answers come out of order, so one counts as later
- * than another only if its request was sent after the other had been heard: it was written after it
- * then. Of answers that may have been written in either order, the least rate holds, and one that
- * names none ends nothing. Without I/O; time is injected; not safe for use by several threads.
+ * The rate limits that backends advertise in their answers. Answers arrive out of order, so an
+ * answer counts as later than another only if its request was sent after the other answer had been
+ * received, which implies that it was written later. Among answers that may have been written in
+ * either order the lowest rate applies, and an answer without a rate ends none. Performs no I/O;
+ * the time is passed in. Not thread-safe.
  */
 public final class StatedRates {
 
-  /** How a statement changed what is believed. */
+  /** Effect of an answer on the rate limit of its backend. */
   public enum Change {
-    /** Nothing is believed that was not before. */
+    /** The rate limit did not change. */
     NONE,
-    /** The back end takes a rate that was not believed before. */
+    /** The backend has a new or another rate limit. */
     LIMITED,
-    /** The back end no longer names a rate. */
+    /** The backend no longer has a rate limit. */
     ENDED
   }
 
-  /** An ended limit is remembered this long, since answers of its time may still come. */
-  private static final long ENDED_MEMORY_MILLIS = 10_000;
+  /**
+   * Time for which an ended limit is remembered, since answers from before its end may still
+   * arrive, in milliseconds.
+   */
+  private static final long ENDED_RETENTION_MILLIS = 10_000;
 
   private static final double NO_LIMIT = Double.POSITIVE_INFINITY;
 
   /**
-   * What an answer said.
+   * A rate limit, or its absence, as observed in an answer.
    *
-   * @param perSecond requests a second that its back end takes, or positive infinity
-   * @param sentAtMillis monotonic time at which its request was sent
-   * @param heardAtMillis monotonic time at which it began to be heard
+   * @param perSecond requests per second that the backend accepts, or positive infinity for no
+   *     limit
+   * @param sentAtMillis monotonic time at which the request was sent
+   * @param heardAtMillis monotonic time at which the first part of the answer was received
    */
   public record Statement(double perSecond, long sentAtMillis, long heardAtMillis) {
 
@@ -45,25 +50,28 @@
       return sentAtMillis > other.heardAtMillis;
     }
 
-    /** Returns whether this holds whenever the other one would, and allows no more. */
+    /**
+     * Returns whether this makes the other one redundant: it remains valid for at least as long and
+     * is no higher.
+     */
     boolean covers(Statement other) {
       return perSecond <= other.perSecond && heardAtMillis >= other.heardAtMillis;
     }
   }
 
-  /** Statements that none has followed, by back end. */
+  /** Observations that no later one has superseded, by backend. */
   private final Map<String, List<Statement>> latest = new HashMap<>();
 
   /**
-   * Takes in what an answer says. An unreadable rate changes nothing: a back end that means what it
-   * said before goes on with that, and one that never named a rate would be cut off by a slip.
+   * Processes the rate limit of an answer. An unreadable rate changes nothing: a backend with a
+   * limit keeps it, and one that never advertised a limit would be cut off by a mistake.
    *
-   * @param backend text form of the back end's incarnation
-   * @param statement what the answer says
-   * @param sentAtMillis monotonic time at which the answer's request was sent
-   * @param heardAtMillis monotonic time at which the answer began to be heard
+   * @param backend text form of the backend's incarnation
+   * @param statement rate limit in the answer
+   * @param sentAtMillis monotonic time at which the request was sent
+   * @param heardAtMillis monotonic time at which the first part of the answer was received
    */
-  public Change stated(
+  public Change record(
       String backend, RateStatement statement, long sentAtMillis, long heardAtMillis) {
     boolean limited = statement instanceof RateStatement.Limited;
     boolean readable = limited || statement instanceof RateStatement.None;
@@ -71,7 +79,7 @@
       return Change.NONE;
     }
     double perSecond =
-        statement instanceof RateStatement.Limited named ? named.perSecond() : NO_LIMIT;
+        statement instanceof RateStatement.Limited rate ? rate.perSecond() : NO_LIMIT;
     double before = rateOf(backend);
     add(backend, new Statement(perSecond, sentAtMillis, heardAtMillis));
     double after = rateOf(backend);
@@ -81,62 +89,69 @@
     return after == NO_LIMIT ? Change.ENDED : Change.LIMITED;
   }
 
-  private void add(String backend, Statement heard) {
+  private void add(String backend, Statement added) {
     List<Statement> statements = latest.computeIfAbsent(backend, id -> new ArrayList<>());
-    if (statements.stream().anyMatch(known -> known.isLaterThan(heard) || known.covers(heard))) {
+    if (statements.stream().anyMatch(known -> known.isLaterThan(added) || known.covers(added))) {
       return;
     }
-    statements.removeIf(known -> heard.isLaterThan(known) || heard.covers(known));
-    statements.add(heard);
+    statements.removeIf(known -> added.isLaterThan(known) || added.covers(known));
+    statements.add(added);
   }
 
   private double rateOf(String backend) {
-    return named(backend).map(Statement::perSecond).orElse(NO_LIMIT);
+    return lowest(backend).map(Statement::perSecond).orElse(NO_LIMIT);
   }
 
   /**
-   * Returns what the least of a back end's latest answers said, or empty where it names no rate.
+   * Returns the lowest rate limit among the latest answers of a backend, or empty if it has none.
    */
-  public Optional<Statement> named(String backend) {
-    return least(latest.getOrDefault(backend, List.of()));
+  public Optional<Statement> lowest(String backend) {
+    return lowestOf(latest.getOrDefault(backend, List.of()));
   }
 
-  private static Optional<Statement> least(List<Statement> statements) {
-    Statement least = null;
+  private static Optional<Statement> lowestOf(List<Statement> statements) {
+    Statement lowest = null;
     for (Statement statement : statements) {
       boolean limits = statement.perSecond() < NO_LIMIT;
-      if (limits && (least == null || statement.perSecond() < least.perSecond())) {
-        least = statement;
+      if (limits && (lowest == null || statement.perSecond() < lowest.perSecond())) {
+        lowest = statement;
       }
     }
-    return Optional.ofNullable(least);
+    return Optional.ofNullable(lowest);
   }
 
-  /** Returns the requests a second that a back end takes, or empty where it names no rate. */
+  /** Returns the rate limit of a backend in requests per second, or empty if it has none. */
   public OptionalDouble perSecond(String backend) {
-    return named(backend).stream().mapToDouble(Statement::perSecond).findAny();
+    return lowest(backend).stream().mapToDouble(Statement::perSecond).findAny();
   }
 
-  /** Returns the back ends that name a rate, with what the least of their latest answers said. */
+  /**
+   * Returns the lowest rate limit among the latest answers, by backend, of those that have a limit.
+   */
   public Map<String, Statement> limited() {
     Map<String, Statement> limited = new HashMap<>();
     latest.forEach(
         (backend, statements) ->
-            least(statements).ifPresent(statement -> limited.put(backend, statement)));
+            lowestOf(statements).ifPresent(statement -> limited.put(backend, statement)));
     return limited;
   }
 
-  /** Returns whether a back end names a rate or has ceased to not long ago. */
+  /** Returns whether a backend has a rate limit or had one until recently. */
   public boolean isKnown(String backend) {
     return latest.containsKey(backend);
   }
 
-  /** Returns whether nothing is believed of any back end. */
+  /** Returns whether no backend has a rate limit or had one until recently. */
   public boolean isEmpty() {
     return latest.isEmpty();
   }
 
-  /** Forgets back ends that are gone, and limits that ended long ago. */
+  /**
+   * Removes backends that no longer exist, and limits that ended long ago.
+   *
+   * @param backends the existing ones
+   * @param nowMillis monotonic time
+   */
   public void retain(Set<String> backends, long nowMillis) {
     latest.keySet().retainAll(backends);
     latest.entrySet().removeIf(entry -> endedLongAgo(entry.getKey(), nowMillis));
@@ -145,6 +160,6 @@
   private boolean endedLongAgo(String backend, long nowMillis) {
     return rateOf(backend) == NO_LIMIT
         && latest.get(backend).stream()
-            .allMatch(known -> nowMillis - known.heardAtMillis() > ENDED_MEMORY_MILLIS);
+            .allMatch(known -> nowMillis - known.heardAtMillis() > ENDED_RETENTION_MILLIS);
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/rate/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/package-info.java
@@ -1,4 +1,4 @@
-/** Rates at which back ends take requests from all nodes together, as their answers name them. */
+/** Rate limits that backends advertise in their answers, which apply to all nodes together. */
 @NullMarked
 package org.lockdale.gateway.rate;
 
--- a/gateway/src/test/java/org/lockdale/gateway/rate/ComeBackScheduleTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/rate/RetryAfterScheduleTest.java
@@ -8,18 +8,18 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Callers come back one after the other, as fast as they can be served. */
-public final class ComeBackScheduleTest {
+/** Tests that callers retry one after the other, as fast as they can be served. */
+public final class RetryAfterScheduleTest {
 
-  private ComeBackSchedule schedule;
+  private RetryAfterSchedule schedule;
 
   @BeforeMethod
   public void start() {
-    schedule = new ComeBackSchedule();
+    schedule = new RetryAfterSchedule();
   }
 
   @Test
-  public void callersComeBackAtTheRate() {
+  public void callersRetryAtTheRate() {
     assertEquals(schedule.next("pool", 100, 4, 0), 100);
     assertEquals(schedule.next("pool", 100, 4, 0), 350);
     assertEquals(schedule.next("pool", 100, 4, 0), 600);
@@ -27,17 +27,17 @@
   }
 
   @Test
-  public void afterAPauseTheNextOneComesBackAsSoonAsItCan() {
+  public void afterAPauseTheNextCallerRetriesAsSoonAsPossible() {
     schedule.next("pool", 100, 4, 0);
     assertEquals(schedule.next("pool", 60, 4, 10_000), 60);
   }
 
   @Test
-  public void nobodyWaitsForLongAndNoHerdComesBack() {
+  public void waitsAreBoundedAndSpread() {
     Set<Long> waits = new HashSet<>();
     for (int caller = 0; caller < 100; caller++) {
       long wait = schedule.next("pool", Double.POSITIVE_INFINITY, 0, 0);
-      assertTrue(wait > 0 && wait <= ComeBackSchedule.MAX_WAIT_MILLIS, "" + wait);
+      assertTrue(wait > 0 && wait <= RetryAfterSchedule.MAX_WAIT_MILLIS, "" + wait);
       waits.add(wait);
     }
     assertTrue(waits.size() > 90, waits.size() + " different waits");
