--- a/gateway/src/main/java/org/lockdale/gateway/blackboard/GatewayBlackboard.java
+++ b/gateway/src/main/java/org/lockdale/gateway/blackboard/GatewayBlackboard.java
@@ -8,14 +8,15 @@
 import org.lockdale.gateway.weights.RolloutProgress;
 
 /**
- * What a node believes.
+ * The current state of a node, shared between its components as a blackboard. Each section has a
+ * single writer.
  *
  * @param configuration configuration in force; written by the operator controller
- * @param weights versions of weights that operators have named; written by the operator controller
- * @param backends back ends on record; written by the backend controller
- * @param rollout engines on their way to other weights; written by the rollout observer
- * @param suspects requests under which back ends ended; written by the quarantine
- * @param phase whether the node starts, serves or stops; written by the node
+ * @param weights target versions of weights set by operators; written by the operator controller
+ * @param backends registered backends; written by the backend controller
+ * @param rollout engines that are being moved to other weights; written by the rollout observer
+ * @param suspects requests during which backends crashed; written by the quarantine
+ * @param phase lifecycle phase of the node; written by the node
  */
 public record GatewayBlackboard(
     Section<GatewayConfiguration> configuration,
@@ -25,7 +26,7 @@
     Section<Suspects> suspects,
     Section<GatewayPhase> phase) {
 
-  /** Returns a blackboard on which nothing is known yet. */
+  /** Returns a blackboard with the initial state. */
   public static GatewayBlackboard empty() {
     return new GatewayBlackboard(
         new Section<>(GatewayConfiguration.NONE),
--- a/gateway/src/main/java/org/lockdale/gateway/blackboard/GatewayPhase.java
+++ b/gateway/src/main/java/org/lockdale/gateway/blackboard/GatewayPhase.java
@@ -1,17 +1,19 @@
 package org.lockdale.gateway.blackboard;
 
-/** Phase in the life of a node. */
+/** Lifecycle phase of a node. */
 public enum GatewayPhase {
-  /** No configuration or back ends are known yet. */
+  /** The configuration or the backends are not known yet. */
   STARTING,
   /** Requests are served. */
   SERVING,
-  /** No further connections are wanted; what still comes is served. */
+  /**
+   * The node is stopping and should get no new connections; requests that still arrive are served.
+   */
   STOPPING,
-  /** Open requests are finished; new ones are refused as not run. */
+  /** Open requests are completed; new ones are refused as not run. */
   DRAINING;
 
-  /** Returns whether a planned stop is under way. */
+  /** Returns whether a planned stop is in progress. */
   public boolean isEnding() {
     return this == STOPPING || this == DRAINING;
   }
--- a/gateway/src/main/java/org/lockdale/gateway/blackboard/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/blackboard/package-info.java
@@ -1,4 +1,4 @@
-/** What a node believes: sections that controllers write and everything else reads. */
+/** Current state of a node: sections that controllers write and all other components read. */
 @NullMarked
 package org.lockdale.gateway.blackboard;
 
--- a/gateway/src/main/java/org/lockdale/gateway/caller/CallerProtocol.java
+++ b/gateway/src/main/java/org/lockdale/gateway/caller/CallerProtocol.java
@@ -4,13 +4,13 @@
 import org.lockdale.http.HttpExchange;
 import org.lockdale.http.HttpReply;
 
-/** Port of the protocol that callers speak. */
+/** Protocol of callers, as the gateway uses it. Implemented by the platform. */
 public interface CallerProtocol {
 
   /**
    * Reads a request.
    *
-   * @throws MalformedRequestException if a header that must be there is missing or can't be read
+   * @throws MalformedRequestException if a required header is missing or cannot be parsed
    */
   CallerRequest read(HttpExchange exchange);
 
--- a/gateway/src/main/java/org/lockdale/gateway/caller/CallerRequest.java
+++ b/gateway/src/main/java/org/lockdale/gateway/caller/CallerRequest.java
@@ -7,19 +7,22 @@
 /**
  * A request as a caller sent it.
  *
- * @param id the caller's id of this try
+ * @param id the caller's id of this attempt
  * @param method HTTP method
  * @param uri path and query as sent
  * @param path path without the query
- * @param host host that was asked
- * @param key the caller's key, or null
- * @param deadlineMillis how long the caller waits from the request's arrival, in milliseconds
- * @param model model that is asked for, or null
- * @param promptParts parts of the prompt in order; empty where there is none
- * @param tokens tokens of the prompt and of the longest answer together, or null if not told
- * @param lastEventId id of the last event the caller holds of a stream to be continued, or null
+ * @param host requested host
+ * @param key the caller's key, or null if there is none
+ * @param deadlineMillis time for which the caller waits from the arrival of the request, in
+ *     milliseconds
+ * @param model requested model, or null if there is none
+ * @param promptParts parts of the prompt in order; empty if there is no prompt
+ * @param tokens number of tokens of the prompt and of the longest answer together, or null if not
+ *     specified
+ * @param lastEventId id of the last event that the caller received of a stream to be continued, or
+ *     null
  * @param headers all headers as sent
- * @param body whole body
+ * @param body complete body
  */
 public record CallerRequest(
     String id,
--- a/gateway/src/main/java/org/lockdale/gateway/caller/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/caller/package-info.java
@@ -1,4 +1,4 @@
-/** Requests as callers send them, and the port of the protocol they speak. */
+/** Requests of callers, and the interface to the protocol in which they are sent. */
 @NullMarked
 package org.lockdale.gateway.caller;
 
--- a/gateway/src/main/java/org/lockdale/gateway/configuration/CacheStore.java
+++ b/gateway/src/main/java/org/lockdale/gateway/configuration/CacheStore.java
@@ -3,10 +3,10 @@
 import java.net.InetSocketAddress;
 
 /**
- * A store that keeps cached prompts for engines.
+ * A store of cached prompts that engines share.
  *
  * @param name name of the store
- * @param address where it is reached
- * @param zone zone it stands in
+ * @param address address of the store
+ * @param zone zone in which the store is located
  */
 public record CacheStore(String name, InetSocketAddress address, String zone) {}
--- a/gateway/src/main/java/org/lockdale/gateway/configuration/GatewayConfiguration.java
+++ b/gateway/src/main/java/org/lockdale/gateway/configuration/GatewayConfiguration.java
@@ -9,10 +9,10 @@
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
 
-/** One version of everything that operators decide. Immutable. */
+/** A version of the configuration that operators set. Immutable. */
 public final class GatewayConfiguration {
 
-  /** What a node holds before it has read any version. */
+  /** Configuration of a node that has not read any version yet. */
   public static final GatewayConfiguration NONE =
       new GatewayConfiguration(-1, List.of(), List.of(), List.of(), List.of());
 
@@ -27,11 +27,11 @@
   /**
    * Creates a configuration.
    *
-   * @param version rises with every change
+   * @param version version, which increases with each change
    * @param routes all routes
    * @param pools all pools
    * @param cacheStores stores of cached prompts
-   * @param tenants all tenants; without any, no keys are asked for
+   * @param tenants all tenants; if empty, requests need no keys
    */
   public GatewayConfiguration(
       long version,
@@ -60,7 +60,7 @@
     keysRequired = !tenants.isEmpty();
   }
 
-  /** Returns the version, or -1 where none was read yet. */
+  /** Returns the version, or -1 if none was read yet. */
   public long version() {
     return version;
   }
@@ -70,7 +70,10 @@
     return version >= 0;
   }
 
-  /** Returns the route of a host whose prefix begins the path and is longest. */
+  /**
+   * Returns the route of a host with the longest prefix that matches a path, or empty if there is
+   * none. Hosts are compared without regard to case.
+   */
   public Optional<Route> route(String host, String path) {
     for (Route route : routesByHost.getOrDefault(host.toLowerCase(Locale.ROOT), List.of())) {
       if (path.startsWith(route.pathPrefix())) {
@@ -80,7 +83,7 @@
     return Optional.empty();
   }
 
-  /** Returns a pool by name. */
+  /** Returns a pool by name, or empty if it does not exist. */
   public Optional<Pool> pool(String name) {
     return Optional.ofNullable(pools.get(name));
   }
@@ -90,17 +93,17 @@
     return cacheStores;
   }
 
-  /** Returns the tenant that holds a key. */
+  /** Returns the tenant of a key, or empty if there is none or the key is null. */
   public Optional<Tenant> tenantOf(@Nullable String key) {
     return Optional.ofNullable(tenantsByKey.get(key));
   }
 
-  /** Returns the limits of those tenants that have one, by the tenants' names. */
+  /** Returns the limits of the tenants that have one, by tenant name. */
   public Map<String, TenantLimit> tenantLimits() {
     return tenantLimits;
   }
 
-  /** Returns whether requests carry keys at all. */
+  /** Returns whether requests need keys, which is the case if there are any tenants. */
   public boolean keysRequired() {
     return keysRequired;
   }
--- a/gateway/src/main/java/org/lockdale/gateway/configuration/LimitUnit.java
+++ b/gateway/src/main/java/org/lockdale/gateway/configuration/LimitUnit.java
@@ -1,9 +1,9 @@
 package org.lockdale.gateway.configuration;
 
-/** What a tenant's limit counts. */
+/** Unit of the limit of a tenant. */
 public enum LimitUnit {
-  /** Each request counts one. */
+  /** Each request counts as one. */
   REQUESTS,
-  /** Each request counts the tokens of its prompt and of its longest answer. */
+  /** Each request counts as the number of tokens of its prompt and of its longest answer. */
   TOKENS
 }
--- a/gateway/src/main/java/org/lockdale/gateway/configuration/OperatorRecord.java
+++ b/gateway/src/main/java/org/lockdale/gateway/configuration/OperatorRecord.java
@@ -1,20 +1,20 @@
 package org.lockdale.gateway.configuration;
 
-/** What a row of the operators' table says. */
+/** Content of a row of the operators' table. */
 public sealed interface OperatorRecord {
 
   /**
    * A version of the configuration.
    *
-   * @param configuration everything that operators decide
+   * @param configuration the configuration
    */
   record Configured(GatewayConfiguration configuration) implements OperatorRecord {}
 
   /**
-   * The version of a model's weights that is to be served.
+   * The target version of the weights of a model.
    *
    * @param model name of the model
-   * @param version the version
+   * @param version version of the weights that is to be served
    */
   record WeightsNamed(String model, long version) implements OperatorRecord {}
 }
--- a/gateway/src/main/java/org/lockdale/gateway/configuration/Pool.java
+++ b/gateway/src/main/java/org/lockdale/gateway/configuration/Pool.java
@@ -3,15 +3,16 @@
 import java.util.Set;
 
 /**
- * A set of interchangeable back ends.
+ * A set of interchangeable backends.
  *
  * @param name name of the pool
- * @param maxConnections most connections that one back end accepts from all callers together
- * @param models models that its engines run; empty where they are no engines
+ * @param maxConnections maximum number of connections that each backend accepts from all callers
+ *     together
+ * @param models models that its engines run; empty if its backends are not engines
  */
 public record Pool(String name, int maxConnections, Set<String> models) {
 
-  /** Returns whether the back ends are model engines. */
+  /** Returns whether the backends are model engines. */
   public boolean hasEngines() {
     return !models.isEmpty();
   }
--- a/gateway/src/main/java/org/lockdale/gateway/configuration/Route.java
+++ b/gateway/src/main/java/org/lockdale/gateway/configuration/Route.java
@@ -4,20 +4,20 @@
 import java.util.List;
 
 /**
- * A route, chosen by host and path.
+ * A route, selected by host and path.
  *
  * @param name name of the route
- * @param host host that the route belongs to
- * @param pathPrefix prefix of the path, which begins and ends with a slash
- * @param kind how its requests may be treated
+ * @param host host of the route
+ * @param pathPrefix prefix of the path, which starts and ends with a slash
+ * @param kind whether its requests are streamed and may run more than once
  * @param pools pools that serve it; at least one
- * @param timeout longest time a request may be held
- * @param latencyObjective time within which an answer should begin
- * @param gapObjective longest pause between two events of a stream that is still in time
- * @param priority rank of its requests, 0 first
- * @param maxAttempts most back ends that may begin to work on one request
+ * @param timeout longest time until a request is answered or refused
+ * @param latencyObjective time within which an answer should start
+ * @param gapObjective longest time between two events of a stream that still meets the objective
+ * @param priority priority of its requests, 0 is the most urgent
+ * @param maxAttempts maximum number of backends that may start to run a request
  * @param anonymousAllowed whether requests need no key
- * @param resumable whether a stream may be continued at another back end
+ * @param resumable whether a stream may be continued at another backend
  */
 public record Route(
     String name,
--- a/gateway/src/main/java/org/lockdale/gateway/configuration/RouteKind.java
+++ b/gateway/src/main/java/org/lockdale/gateway/configuration/RouteKind.java
@@ -1,11 +1,11 @@
 package org.lockdale.gateway.configuration;
 
-/** How the requests of a route may be treated. */
+/** Form of the answers of a route, and whether its requests may run more than once. */
 public enum RouteKind {
-  /** A whole answer; the request may run more than once. */
+  /** A complete answer; the request may run more than once. */
   IDEMPOTENT,
-  /** A whole answer; the request runs at most once. */
+  /** A complete answer; the request runs at most once. */
   NON_IDEMPOTENT,
-  /** An answer of server-sent events. */
+  /** A stream of server-sent events. */
   STREAM
 }
--- a/gateway/src/main/java/org/lockdale/gateway/configuration/Tenant.java
+++ b/gateway/src/main/java/org/lockdale/gateway/configuration/Tenant.java
@@ -8,9 +8,9 @@
  *
  * @param name name of the tenant
  * @param keys keys of its callers
- * @param priority rank of its requests in place of the route's, or null for the route's
- * @param isolated whether no cached prompt may be shared with other tenants
- * @param limit limit on its requests, or null for none
+ * @param priority priority of its requests, 0 is the most urgent, or null for that of the route
+ * @param isolated whether its cached prompts must not be shared with other tenants
+ * @param limit limit on its requests, or null if there is none
  */
 public record Tenant(
     String name,
--- a/gateway/src/main/java/org/lockdale/gateway/configuration/TenantLimit.java
+++ b/gateway/src/main/java/org/lockdale/gateway/configuration/TenantLimit.java
@@ -3,16 +3,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Limit on a tenant's requests at all nodes together.
+ * Limit on the requests of a tenant at all nodes together.
  *
- * @param ratePerSecond what is allowed a second in the long run; more than 0
- * @param burst what is allowed beyond that at one moment
- * @param unit what is counted
- * @param plainTokens what a request counts that doesn't tell its tokens, where tokens are counted
+ * @param ratePerSecond amount that is allowed per second on average; more than 0
+ * @param burst amount that is allowed beyond that at once
+ * @param unit unit of the amounts
+ * @param plainTokens amount of a request without a specified number of tokens, if tokens are
+ *     counted
  */
 public record TenantLimit(double ratePerSecond, double burst, LimitUnit unit, long plainTokens) {
 
-  /** Checks the arguments. */
+  /**
+   * Validates the limit.
+   *
+   * @throws IllegalArgumentException if the rate is not positive, or the burst or the plain tokens
+   *     are negative
+   */
   public TenantLimit {
     if (!(ratePerSecond > 0) || !(burst >= 0) || plainTokens < 0) {
       throw new IllegalArgumentException("a limit has a positive rate and no negative parts");
@@ -20,9 +26,9 @@
   }
 
   /**
-   * Returns what a request counts.
+   * Returns the amount that a request consumes.
    *
-   * @param tokens tokens of the request as the caller tells them, or null
+   * @param tokens number of tokens of the request as specified by the caller, or null
    */
   public double amountOf(@Nullable Long tokens) {
     if (unit == LimitUnit.REQUESTS) {
--- a/gateway/src/main/java/org/lockdale/gateway/configuration/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/configuration/package-info.java
@@ -1,4 +1,4 @@
-/** Routes, pools and tenants: what operators decide. */
+/** Configuration set by operators: routes, pools and tenants. */
 @NullMarked
 package org.lockdale.gateway.configuration;
 
--- a/gateway/src/main/java/org/lockdale/gateway/usage/ProcessorTimes.java
+++ b/gateway/src/main/java/org/lockdale/gateway/usage/ProcessorTimes.java
@@ -8,8 +8,9 @@
 import java.util.TreeMap;
 
 /**
- * Reads how long the threads of a process have run. The system's files are read, since the JVM's
- * own beans for this are loaded in some 50 ms of a start and don't know the compiler's threads.
+ * Reads the processor times of the threads of a process from the files of the operating system. The
+ * JVM's management beans are not used, as loading them takes some 50 ms at startup and they do not
+ * include the compiler threads.
  */
 public final class ProcessorTimes {
 
@@ -21,34 +22,36 @@
     this.threads = threads;
   }
 
-  /** Returns the times of this process. */
+  /** Returns the reader for this process. */
   public static ProcessorTimes ofThisProcess() {
     return of(Path.of("/proc/self/task"));
   }
 
-  /** Returns the times told by a folder with a folder for each thread. */
+  /** Returns a reader of a directory with a subdirectory for directories thread. */
   static ProcessorTimes of(Path threads) {
     return new ProcessorTimes(threads);
   }
 
   /**
-   * Returns milliseconds by the name of a thread without its number; empty where the system doesn't
-   * tell them.
+   * Returns the processor time in milliseconds by thread name without the number; empty if the
+   * system does not provide it.
    */
   public Map<String, Long> millisByThread() {
     Map<String, Long> nanos = new TreeMap<>();
-    try (DirectoryStream<Path> each = Files.newDirectoryStream(threads)) {
-      for (Path thread : each) {
+    try (DirectoryStream<Path> directories = Files.newDirectoryStream(threads)) {
+      for (Path thread : directories) {
         add(thread, nanos);
       }
-    } catch (IOException notTold) {
+    } catch (IOException unavailable) {
       return Map.of();
     }
     nanos.replaceAll((name, total) -> total / NANOS_PER_MILLI);
     return nanos;
   }
 
-  /** A thread that has just ended has no files any more. */
+  /**
+   * Adds the time of a thread. Skips a thread that has just ended, as its files no longer exist.
+   */
   private static void add(Path thread, Map<String, Long> nanos) {
     try {
       String name = Files.readString(thread.resolve("comm")).trim();
--- a/gateway/src/main/java/org/lockdale/gateway/usage/RequestCounter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/usage/RequestCounter.java
@@ -5,17 +5,21 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts requests by how they ended. Safe for use by several threads. */
+/** Counts requests by outcome. Thread-safe. */
 public final class RequestCounter {
 
   private final Map<String, LongAdder> ended = new ConcurrentHashMap<>();
 
-  /** Counts a request; outcomes are named in the code, so there are few. */
+  /**
+   * Counts a request.
+   *
+   * @param outcome name of the outcome; names are constants of the code, so there are few
+   */
   public void ended(String outcome) {
     ended.computeIfAbsent(outcome, name -> new LongAdder()).increment();
   }
 
-  /** Returns the requests so far by outcome. */
+  /** Returns the number of requests so far, by outcome. */
   public Map<String, Long> totals() {
     Map<String, Long> totals = new TreeMap<>();
     ended.forEach((outcome, count) -> totals.put(outcome, count.sum()));
--- a/gateway/src/main/java/org/lockdale/gateway/usage/TrafficMeter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/usage/TrafficMeter.java
@@ -6,12 +6,15 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts the bytes of bodies that a node exchanges with other nodes, the store and back ends beside
- * the requests themselves, by kind. Safe for use by several threads.
+ * Counts by kind the bytes of bodies that a node exchanges with other nodes, the store and
+ * backends, except for the requests themselves. Thread-safe.
  */
 public final class TrafficMeter {
 
-  /** Kinds are named in the code or by paths of calls; more than this number would be a fault. */
+  /**
+   * Maximum number of kinds. They are constants of the code or paths of calls, so more would be a
+   * bug; further ones are counted together.
+   */
   private static final int MAX_KINDS = 64;
 
   private static final String OTHER = "other";
@@ -31,15 +34,17 @@
   /**
    * Counts a call and its reply.
    *
-   * @param path path of the call; its first part is the kind
+   * @param path path of the call; its first segment is the kind
+   * @param sentBytes length of the body that was sent, in bytes
+   * @param receivedBytes length of the body that was received, in bytes
    */
   public void called(String path, long sentBytes, long receivedBytes) {
-    String kind = firstPart(path);
+    String kind = firstSegment(path);
     sent(kind, sentBytes + path.length());
     received(kind, receivedBytes);
   }
 
-  private static String firstPart(String path) {
+  private static String firstSegment(String path) {
     int end = path.indexOf('?');
     String plain = end < 0 ? path : path.substring(0, end);
     int slash = plain.indexOf('/', 1);
@@ -47,12 +52,12 @@
   }
 
   private void add(String name, long count) {
-    LongAdder known = bytes.get(name);
-    if (known == null) {
+    LongAdder counter = bytes.get(name);
+    if (counter == null) {
       String kept = bytes.size() < MAX_KINDS ? name : OTHER;
-      known = bytes.computeIfAbsent(kept, missing -> new LongAdder());
+      counter = bytes.computeIfAbsent(kept, missing -> new LongAdder());
     }
-    known.add(count);
+    counter.add(count);
   }
 
   /** Returns the bytes so far by direction and kind, such as {@code out/RelayHeartbeat}. */
--- a/gateway/src/main/java/org/lockdale/gateway/usage/UsageLog.java
+++ b/gateway/src/main/java/org/lockdale/gateway/usage/UsageLog.java
@@ -6,9 +6,8 @@
 import org.tinylog.Logger;
 
 /**
- * Logs what was used since the last line: one line for processor time and one for bytes. A node
- * that is too slow, or fills its link, can be read from its log without another run. Not safe for
- * use by several threads.
+ * Logs the usage since the previous call: one line for processor time and one for bytes, so that a
+ * slow node or a saturated link can be recognized from the log of the node. Not thread-safe.
  */
 public final class UsageLog {
 
@@ -20,15 +19,15 @@
   /**
    * Creates a log.
    *
-   * @param processorTimes tells milliseconds by thread so far
-   * @param traffic tells bytes by kind so far
+   * @param processorTimes supplies the total milliseconds by thread
+   * @param traffic supplies the total bytes by kind
    */
   public UsageLog(Supplier<Map<String, Long>> processorTimes, Supplier<Map<String, Long>> traffic) {
     this.processorTimes = processorTimes;
     this.traffic = traffic;
   }
 
-  /** Logs what was added since the last call. */
+  /** Logs the usage since the previous call. */
   public void log() {
     Map<String, Long> times = processorTimes.get();
     Map<String, Long> bytes = traffic.get();
@@ -40,7 +39,10 @@
     Logger.info("event=traffic total-bytes={} by-kind={}", sum(usedBytes), text(usedBytes));
   }
 
-  /** What a thread used that has ended since is not told; its total would fall. */
+  /**
+   * Returns the increases between two readings. Totals that fell, as those of a thread that has
+   * ended, are omitted.
+   */
   static Map<String, Long> since(Map<String, Long> before, Map<String, Long> now) {
     Map<String, Long> added = new TreeMap<>();
     now.forEach(
--- a/gateway/src/main/java/org/lockdale/gateway/usage/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/usage/package-info.java
@@ -1,4 +1,6 @@
-/** Tells what a node uses: processor time by thread, bytes by kind of message. */
+/**
+ * Measures the resource usage of a node: processor time by thread, and bytes by kind of message.
+ */
 @NullMarked
 package org.lockdale.gateway.usage;
 
--- a/gateway/src/test/java/org/lockdale/gateway/usage/UsageTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/usage/UsageTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** What a node says that it used. */
+/** Tests the measurement of resource usage. */
 public final class UsageTest {
 
   @Test
@@ -45,7 +45,7 @@
   }
 
   @Test
-  public void onlyWhatWasAddedIsTold() {
+  public void onlyIncreasesAreReturned() {
     Map<String, Long> before = Map.of("a", 5L, "b", 7L, "ended", 9L);
     Map<String, Long> now = Map.of("a", 5L, "b", 8L, "c", 2L);
     assertEquals(UsageLog.since(before, now), Map.of("b", 1L, "c", 2L));
@@ -71,7 +71,7 @@
   }
 
   @Test
-  public void aSystemThatTellsNothingIsNoFault() {
+  public void aSystemWithoutProcessorTimesIsNoError() {
     assertEquals(ProcessorTimes.of(Path.of("/no-such-folder")).millisByThread(), Map.of());
   }
 }
