--- a/gateway/src/main/java/org/lockdale/gateway/rate/RetryAfterSchedule.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/RetryAfterSchedule.java
@@ -23,7 +23,7 @@
   /** Step of a low-discrepancy sequence from 0 to 1, in which consecutive numbers are far apart. */
   private static final double GOLDEN_RATIO_FRACTION = 0.618_033_988_749_895;
 
-  private final Map<String, Double> latestRetryByPool = new HashMap<>();
+  private final Map<String, Double> latestByPool = new HashMap<>();
   private double sequence;
 
   /**
@@ -36,13 +36,13 @@
    * @param nowMillis monotonic time
    */
   long next(String pool, double soonestMillis, double perSecond, long nowMillis) {
-    double earliest = nowMillis + soonestMillis;
-    double latest = latestRetryByPool.getOrDefault(pool, Double.NEGATIVE_INFINITY);
-    double at = perSecond > 0 ? Math.max(earliest, latest + 1_000 / perSecond) : earliest;
+    double first = nowMillis + soonestMillis;
+    double latest = latestByPool.getOrDefault(pool, Double.NEGATIVE_INFINITY);
+    double at = perSecond > 0 ? Math.max(first, latest + 1_000 / perSecond) : first;
     if (at > nowMillis + MAX_WAIT_MILLIS) {
       return spread();
     }
-    latestRetryByPool.put(pool, at);
+    latestByPool.put(pool, at);
     return Math.max(MIN_WAIT_MILLIS, Math.round(at - nowMillis));
   }
 
