--- a/gateway/src/main/java/org/lockdale/gateway/blackboard/GatewayBlackboard.java
+++ b/gateway/src/main/java/org/lockdale/gateway/blackboard/GatewayBlackboard.java
@@ -15,7 +15,7 @@
  * @param weights target versions of weights set by operators; written by the operator controller
  * @param backends registered backends; written by the backend controller
  * @param rollout engines that are being moved to other weights; written by the rollout observer
- * @param suspects requests during which backends crashed; written by the quarantine
+ * @param suspects suspect requests, during which backends crashed; written by the quarantine
  * @param phase lifecycle phase of the node; written by the node
  */
 public record GatewayBlackboard(
--- a/gateway/src/main/java/org/lockdale/gateway/configuration/Route.java
+++ b/gateway/src/main/java/org/lockdale/gateway/configuration/Route.java
@@ -11,7 +11,7 @@
  * @param pathPrefix prefix of the path, which starts and ends with a slash
  * @param kind whether its requests are streamed and may run more than once
  * @param pools pools that serve it; at least one
- * @param timeout longest time until a request is answered or refused
+ * @param timeout maximum duration of a request, including its answer
  * @param latencyObjective time within which an answer should start
  * @param gapObjective longest time between two events of a stream that still meets the objective
  * @param priority priority of its requests, 0 is the most urgent
--- a/gateway/src/main/java/org/lockdale/gateway/rate/BackendRates.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/BackendRates.java
@@ -25,17 +25,13 @@
      * recently.
      *
      * @param backend text form of the backend's incarnation
-     * @param statement rate limit in the answer
+     * @param rate rate limit in the answer
      * @param sentAtMillis monotonic time at which the request was sent
      * @param heardAtMillis monotonic time at which the first part of the answer was received
      * @param isNews whether the answer changed the rate limit known to this node
      */
     void heard(
-        String backend,
-        RateStatement statement,
-        long sentAtMillis,
-        long heardAtMillis,
-        boolean isNews);
+        String backend, RateStatement rate, long sentAtMillis, long heardAtMillis, boolean isNews);
   }
 
   /**
@@ -64,7 +60,7 @@
   private final RetryAfterSchedule retrySchedule = new RetryAfterSchedule();
   private final Map<String, Long> sends = new HashMap<>();
   private final Map<String, Long> loggedSends = new HashMap<>();
-  private volatile Listener listener = (backend, statement, sentAt, receivedAt, isNews) -> {};
+  private volatile Listener listener = (backend, rate, sentAt, receivedAt, isNews) -> {};
   private long loggedAtMillis;
   private long delays;
 
@@ -86,24 +82,24 @@
    * Processes the rate limit of an answer to this node.
    *
    * @param backend text form of the backend's incarnation
-   * @param statement rate limit in the answer
+   * @param rate rate limit in the answer
    * @param sentAtMillis monotonic time at which the request was sent
    */
-  public void stated(String backend, RateStatement statement, long sentAtMillis) {
-    if (!anyKnown && statement instanceof RateStatement.None) {
+  public void stated(String backend, RateStatement rate, long sentAtMillis) {
+    if (!anyKnown && rate instanceof RateStatement.None) {
       return;
     }
-    if (statement instanceof RateStatement.Unreadable unreadable) {
+    if (rate instanceof RateStatement.Unreadable unreadable) {
       Logger.info("event=rate-unreadable backend={} value=\"{}\"", backend, unreadable.text());
       return;
     }
     long now = time.monotonicMillis();
     // Also notified for some time after a limit ended: a relay that did not receive the first
     // answer without one would keep it.
-    boolean notifies = statement instanceof RateStatement.Limited || isKnown(backend);
-    boolean isNews = record(backend, statement, sentAtMillis, now, "answer");
+    boolean notifies = rate instanceof RateStatement.Limited || isKnown(backend);
+    boolean isNews = record(backend, rate, sentAtMillis, now, "answer");
     if (notifies) {
-      listener.heard(backend, statement, sentAtMillis, now, isNews);
+      listener.heard(backend, rate, sentAtMillis, now, isNews);
     }
   }
 
@@ -112,28 +108,19 @@
    *
    * @param sender id of the node that reported it
    * @param backend text form of the backend's incarnation
-   * @param statement rate limit in the answer
+   * @param rate rate limit in the answer
    * @param sentAtMillis monotonic time before which the request was sent
    * @param heardAtMillis monotonic time at which the first part of the answer was received
    * @return whether the answer changed the rate limit known to this node
    */
   public boolean told(
-      String sender,
-      String backend,
-      RateStatement statement,
-      long sentAtMillis,
-      long heardAtMillis) {
-    return record(backend, statement, sentAtMillis, heardAtMillis, sender);
+      String sender, String backend, RateStatement rate, long sentAtMillis, long heardAtMillis) {
+    return record(backend, rate, sentAtMillis, heardAtMillis, sender);
   }
 
   private synchronized boolean record(
-      String backend,
-      RateStatement statement,
-      long sentAtMillis,
-      long receivedAtMillis,
-      String source) {
-    StatedRates.Change change =
-        advertised.record(backend, statement, sentAtMillis, receivedAtMillis);
+      String backend, RateStatement rate, long sentAtMillis, long receivedAtMillis, String source) {
+    StatedRates.Change change = advertised.record(backend, rate, sentAtMillis, receivedAtMillis);
     anyKnown = !advertised.isEmpty();
     switch (change) {
       case LIMITED -> {
@@ -169,7 +156,7 @@
   public boolean wasNamedLately(String backend) {
     return anyKnown
         && named(backend)
-            .filter(rate -> time.monotonicMillis() - rate.heardAtMillis() < RECENT_MILLIS)
+            .filter(lowest -> time.monotonicMillis() - lowest.heardAtMillis() < RECENT_MILLIS)
             .isPresent();
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/rate/RateBound.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/RateBound.java
@@ -17,9 +17,9 @@
 
   /**
    * Part of the burst that a backend tolerates, as seconds of its rate. In any four seconds a
-   * backend tolerates 1.5 times its rate plus five requests, which is two seconds of its rate and
-   * five requests as a burst. Half a second of the rate and 1.5 requests of that are reserved for
-   * requests that were granted one after the other but arrive together.
+   * backend tolerates 1.5 times the requests that its rate allows, plus five, which is two seconds
+   * of its rate and five requests as a burst. Half a second of the rate and 1.5 requests of that
+   * are reserved for requests that were granted one after the other but arrive together.
    */
   private static final double TOLERATED_SECONDS = 1.5;
 
--- a/gateway/src/main/java/org/lockdale/gateway/rate/StatedRates.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/StatedRates.java
@@ -67,19 +67,17 @@
    * limit keeps it, and one that never advertised a limit would be cut off by a mistake.
    *
    * @param backend text form of the backend's incarnation
-   * @param statement rate limit in the answer
+   * @param rate rate limit in the answer
    * @param sentAtMillis monotonic time at which the request was sent
    * @param heardAtMillis monotonic time at which the first part of the answer was received
    */
-  public Change record(
-      String backend, RateStatement statement, long sentAtMillis, long heardAtMillis) {
-    boolean limited = statement instanceof RateStatement.Limited;
-    boolean readable = limited || statement instanceof RateStatement.None;
+  public Change record(String backend, RateStatement rate, long sentAtMillis, long heardAtMillis) {
+    boolean limited = rate instanceof RateStatement.Limited;
+    boolean readable = limited || rate instanceof RateStatement.None;
     if (!readable || !limited && !latest.containsKey(backend)) {
       return Change.NONE;
     }
-    double perSecond =
-        statement instanceof RateStatement.Limited rate ? rate.perSecond() : NO_LIMIT;
+    double perSecond = rate instanceof RateStatement.Limited limit ? limit.perSecond() : NO_LIMIT;
     double before = rateOf(backend);
     add(backend, new Statement(perSecond, sentAtMillis, heardAtMillis));
     double after = rateOf(backend);
@@ -90,12 +88,12 @@
   }
 
   private void add(String backend, Statement added) {
-    List<Statement> statements = latest.computeIfAbsent(backend, id -> new ArrayList<>());
-    if (statements.stream().anyMatch(known -> known.isLaterThan(added) || known.covers(added))) {
+    List<Statement> observations = latest.computeIfAbsent(backend, id -> new ArrayList<>());
+    if (observations.stream().anyMatch(known -> known.isLaterThan(added) || known.covers(added))) {
       return;
     }
-    statements.removeIf(known -> added.isLaterThan(known) || added.covers(known));
-    statements.add(added);
+    observations.removeIf(known -> added.isLaterThan(known) || added.covers(known));
+    observations.add(added);
   }
 
   private double rateOf(String backend) {
@@ -109,12 +107,12 @@
     return lowestOf(latest.getOrDefault(backend, List.of()));
   }
 
-  private static Optional<Statement> lowestOf(List<Statement> statements) {
+  private static Optional<Statement> lowestOf(List<Statement> observations) {
     Statement lowest = null;
-    for (Statement statement : statements) {
-      boolean limits = statement.perSecond() < NO_LIMIT;
-      if (limits && (lowest == null || statement.perSecond() < lowest.perSecond())) {
-        lowest = statement;
+    for (Statement observation : observations) {
+      boolean limits = observation.perSecond() < NO_LIMIT;
+      if (limits && (lowest == null || observation.perSecond() < lowest.perSecond())) {
+        lowest = observation;
       }
     }
     return Optional.ofNullable(lowest);
@@ -131,8 +129,8 @@
   public Map<String, Statement> limited() {
     Map<String, Statement> limited = new HashMap<>();
     latest.forEach(
-        (backend, statements) ->
-            lowestOf(statements).ifPresent(statement -> limited.put(backend, statement)));
+        (backend, observations) ->
+            lowestOf(observations).ifPresent(observation -> limited.put(backend, observation)));
     return limited;
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/request/Attempt.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/Attempt.java
@@ -37,7 +37,7 @@
   private final AttemptPlan plan;
   private final BackendProtocol protocol;
   private final BackendRates rates;
-  private final BackendStatements statements;
+  private final BackendStatements announcements;
   private final LifeEvidence liveness;
   private final Time time;
   private final Runnable onFirstEvent;
@@ -63,7 +63,7 @@
       AttemptPlan plan,
       BackendProtocol protocol,
       BackendRates rates,
-      BackendStatements statements,
+      BackendStatements announcements,
       LifeEvidence liveness,
       Time time,
       Runnable onFirstEvent,
@@ -73,7 +73,7 @@
     this.plan = plan;
     this.protocol = protocol;
     this.rates = rates;
-    this.statements = statements;
+    this.announcements = announcements;
     this.liveness = liveness;
     this.time = time;
     this.onFirstEvent = onFirstEvent;
@@ -227,7 +227,7 @@
     if (!received.misdirected()) {
       liveness.answered(target, connectedAtMillis(), sentAtMonotonicMillis);
       rates.stated(target.backend().id(), received.rate(), sentAtMonotonicMillis);
-      statements.heard(target, received);
+      announcements.heard(target, received);
     }
     if (received.misdirected()) {
       finish(AttemptResult.MISDIRECTED, "it is not the intended incarnation or has other weights");
--- a/gateway/src/main/java/org/lockdale/gateway/request/AttemptMonitor.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/AttemptMonitor.java
@@ -18,7 +18,7 @@
 
   /**
    * Number of gap objectives of silence after which a started answer is considered lost. Callers
-   * wait for at least eight; the other half leaves time to resume.
+   * wait for at least eight gap objectives; the other half leaves time to resume.
    */
   private static final int MAX_SILENT_GAPS = 4;
 
--- a/gateway/src/main/java/org/lockdale/gateway/request/EndToEndHeaders.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/EndToEndHeaders.java
@@ -40,8 +40,8 @@
     HttpHeaders copy =
         DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
     copy.add(headers);
-    for (String named : headers.getAll(HttpHeaderNames.CONNECTION)) {
-      for (String name : named.split(",")) {
+    for (String listed : headers.getAll(HttpHeaderNames.CONNECTION)) {
+      for (String name : listed.split(",")) {
         if (!needed.contains(name.trim().toLowerCase(Locale.ROOT))) {
           copy.remove(name.trim());
         }
--- a/gateway/src/main/java/org/lockdale/gateway/request/QuarantineFilter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/QuarantineFilter.java
@@ -9,8 +9,9 @@
 import org.tinylog.Logger;
 
 /**
- * Refuses requests that crashed backends before, prior to any costly processing. Runs after the
- * tenant filter, since the same contents from another caller are another request.
+ * Refuses quarantined requests, during which backends crashed, before any resources are spent on
+ * them. Runs after the tenant filter, since the same contents from another caller are another
+ * request.
  */
 final class QuarantineFilter implements RequestFilter {
 
@@ -36,27 +37,27 @@
 
   @Override
   public @Nullable Refusal apply(RequestState state) {
-    Optional<HeldRequest> held = quarantine.held(state.request, state.caller());
-    return held.isEmpty() ? null : refusal(state, held.get());
+    Optional<HeldRequest> quarantined = quarantine.held(state.request, state.caller());
+    return quarantined.isEmpty() ? null : refusal(state, quarantined.get());
   }
 
-  private Refusal refusal(RequestState state, HeldRequest held) {
+  private Refusal refusal(RequestState state, HeldRequest quarantined) {
     Logger.info(
         "event=request-held-back request={} fingerprint={} backends={}",
         state.request.id(),
-        held.fingerprint(),
-        held.ends());
+        quarantined.fingerprint(),
+        quarantined.ends());
     return new Refusal(
         RefusalKind.HELD_BACK,
         "Servers crashed each time this request ran, so it was not run again. Change it, or ask the"
             + " operators to release "
-            + held.fingerprint()
+            + quarantined.fingerprint()
             + ".",
-        retryAfterMillis(held));
+        retryAfterMillis(quarantined));
   }
 
-  private long retryAfterMillis(HeldRequest held) {
-    long remaining = held.untilMillis() - time.monotonicMillis();
+  private long retryAfterMillis(HeldRequest quarantined) {
+    long remaining = quarantined.untilMillis() - time.monotonicMillis();
     double factor = ThreadLocalRandom.current().nextDouble(MIN_SPREAD_FACTOR, 1);
     return Math.max(1, (long) (Math.min(remaining, MAX_RETRY_AFTER_MILLIS) * factor));
   }
--- a/gateway/src/main/java/org/lockdale/gateway/request/QueueForecast.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/QueueForecast.java
@@ -4,10 +4,10 @@
 
 /**
  * Predicts the wait in a queue that this node cannot see, from the number of its own requests in it
- * and the rate at which they start to be recordServed: the number waiting is the rate times the
- * wait (Little's law). While nothing starts, the time since the latest start is added to the
- * prediction, which therefore grows continuously. An empty queue predicts no wait. Performs no I/O.
- * Thread-safe.
+ * and the rate at which they start to be served: the number waiting is the rate times the wait
+ * (Little's law). A pause is assumed to last as long again as it has lasted so far, so the
+ * prediction grows continuously while no request starts. An empty queue predicts no wait. Performs
+ * no I/O. Thread-safe.
  */
 public final class QueueForecast {
 
@@ -34,7 +34,7 @@
 
     private Place() {}
 
-    /** Records that the request starts to be recordServed. */
+    /** Records that the request starts to be served. */
     public void begin() {
       synchronized (QueueForecast.this) {
         if (!vacated) {
@@ -44,7 +44,7 @@
       }
     }
 
-    /** Records that the request no longer waits, whether or not it was recordServed. */
+    /** Records that the request no longer waits, whether or not it was served. */
     public void leave() {
       synchronized (QueueForecast.this) {
         if (!vacated) {
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestExecution.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestExecution.java
@@ -171,7 +171,7 @@
             plan,
             path.backendProtocol(),
             path.rates(),
-            path.statements(),
+            path.announcements(),
             path.livenessEvidence(),
             path.time(),
             () -> onFirstEvent(place, sentAtMillis),
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestPath.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestPath.java
@@ -56,7 +56,7 @@
   private final Quarantine quarantine;
   private final LifeWatch incarnations;
   private final BackendRates rates;
-  private final BackendStatements statements;
+  private final BackendStatements announcements;
   private final String zone;
   private final AttemptObserver observer;
   private final IntSupplier nodes;
@@ -85,7 +85,7 @@
    * @param quarantine knows which requests are quarantined
    * @param incarnations notified of requests that reached another incarnation than intended
    * @param rates rate limits that backends advertise
-   * @param statements receives what answers announce about draining and backoff
+   * @param announcements receives what answers announce about draining and backoff
    * @param zone zone of the node
    * @param observer notified of the progress of attempts
    * @param time clock
@@ -103,7 +103,7 @@
       Quarantine quarantine,
       LifeWatch incarnations,
       BackendRates rates,
-      BackendStatements statements,
+      BackendStatements announcements,
       String zone,
       AttemptObserver observer,
       Time time) {
@@ -116,7 +116,7 @@
     this.quarantine = quarantine;
     this.incarnations = incarnations;
     this.rates = rates;
-    this.statements = statements;
+    this.announcements = announcements;
     this.zone = zone;
     this.observer = observer;
     this.nodes = nodes;
@@ -245,8 +245,8 @@
     return rates;
   }
 
-  BackendStatements statements() {
-    return statements;
+  BackendStatements announcements() {
+    return announcements;
   }
 
   /**
@@ -332,7 +332,7 @@
 
   /** Must be called when no backend has run the request or ever will. */
   void onNotRun(RequestState state) {
-    tenantLimits.giveBack(state);
+    tenantLimits.refund(state);
   }
 
   void ended(RequestState state, String outcome) {
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestState.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestState.java
@@ -25,7 +25,7 @@
 
   /**
    * Number of gap objectives for which a request whose answer has started may wait to be sent
-   * again. Callers wait for at least eight; the other half is left for the answer.
+   * again. Callers wait for at least eight gap objectives; the other half is left for the answer.
    */
   private static final int MAX_WAIT_GAPS = 4;
 
--- a/gateway/src/main/java/org/lockdale/gateway/request/TenantLimitStep.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/TenantLimitStep.java
@@ -70,8 +70,8 @@
     }
   }
 
-  /** Returns to the limit what a request consumed that was not run and never will be. */
-  void giveBack(RequestState state) {
+  /** Refunds the amount of a request that was not run and never will be. */
+  void refund(RequestState state) {
     Admission.Granted granted = state.granted;
     if (granted != null) {
       state.granted = null;
--- a/gateway/src/main/java/org/lockdale/gateway/usage/ProcessorTimes.java
+++ b/gateway/src/main/java/org/lockdale/gateway/usage/ProcessorTimes.java
@@ -27,7 +27,7 @@
     return of(Path.of("/proc/self/task"));
   }
 
-  /** Returns a reader of a directory with a subdirectory for directories thread. */
+  /** Returns a reader of a directory with a subdirectory for each thread. */
   static ProcessorTimes of(Path threads) {
     return new ProcessorTimes(threads);
   }
