--- a/gateway/src/main/java/org/lockdale/gateway/life/LifeEvidence.java
+++ b/gateway/src/main/java/org/lockdale/gateway/life/LifeEvidence.java
@@ -22,7 +22,7 @@
    * later. Two outages of the store may put that off by less than {@link #GAP_MILLIS} each
    * unnoticed.
    */
-  public static final long RECORD_MILLIS = 10_000;
+  public static final long RECORD_EXPIRY_MILLIS = 10_000;
 
   /** A feed is held for two seconds where nothing changes; a longer silence is an outage. */
   private static final long GAP_MILLIS = 3_000;
@@ -50,8 +50,8 @@
       currentSinceMillis = trueAt;
     }
     lastTrueAtMillis = Math.max(lastTrueAtMillis, trueAt);
-    if (trueAt - RECORD_MILLIS >= currentSinceMillis) {
-      stoodAtMillis = Math.max(stoodAtMillis, trueAt - RECORD_MILLIS);
+    if (trueAt - RECORD_EXPIRY_MILLIS >= currentSinceMillis) {
+      stoodAtMillis = Math.max(stoodAtMillis, trueAt - RECORD_EXPIRY_MILLIS);
     }
   }
 
@@ -76,7 +76,7 @@
    * Returns the latest monotonic time at which a life is known to have gone on, by its record or
    * its answers; long ago where nothing shows it.
    */
-  public long livedAtMillis(TrackedBackend life) {
+  public long lastAliveAtMillis(TrackedBackend life) {
     return isOnRecord(life) ? Math.max(stoodAtMillis, life.aliveAtMillis()) : NEVER;
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/life/LifeOrder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/life/LifeOrder.java
@@ -19,7 +19,7 @@
 public final class LifeOrder {
 
   /** Servers write their records each 1.2 s; one write may be lost. */
-  static final long LATE_WORD_MILLIS = 3_000;
+  static final long STALE_RECORD_MILLIS = 3_000;
 
   private static final long NEVER = Long.MAX_VALUE;
 
@@ -53,7 +53,7 @@
       return record;
     }
     long since = earlierSince.computeIfAbsent(server, first -> nowMillis);
-    if (nowMillis - since < LATE_WORD_MILLIS) {
+    if (nowMillis - since < STALE_RECORD_MILLIS) {
       return known;
     }
     earlierSince.remove(server);
@@ -64,7 +64,7 @@
   public long decidesAtMillis() {
     long earliest = NEVER;
     for (long since : earlierSince.values()) {
-      earliest = Math.min(earliest, since + LATE_WORD_MILLIS);
+      earliest = Math.min(earliest, since + STALE_RECORD_MILLIS);
     }
     return earliest;
   }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/AttemptJournal.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/AttemptJournal.java
@@ -83,7 +83,7 @@
   }
 
   /** Takes in all rows. */
-  void observed(Collection<SuspectAttempt> rows) {
+  void update(Collection<SuspectAttempt> rows) {
     Set<SuspectAttempt> present = new HashSet<>(rows);
     readAt.keySet().retainAll(present);
     counted.retainAll(present);
@@ -101,7 +101,7 @@
    *
    * @param backends back ends on record
    */
-  List<SuspectAttempt> ended(BackendTable backends) {
+  List<SuspectAttempt> takeCrashed(BackendTable backends) {
     List<SuspectAttempt> ended = new ArrayList<>();
     for (Map.Entry<SuspectAttempt, Long> each : readAt.entrySet()) {
       boolean news = !counted.contains(each.getKey());
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/BackendEnd.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/BackendCrash.java
@@ -9,10 +9,10 @@
  * @param evidence what shows its end
  * @param lost attempts that were under way
  */
-record BackendEnd(String backend, EndEvidence evidence, List<LostAttempt> lost) {
+record BackendCrash(String backend, CrashEvidence evidence, List<LostAttempt> lost) {
 
   /** Copies the attempts. */
-  BackendEnd {
+  BackendCrash {
     lost = List.copyOf(lost);
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/EndDetector.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashDetector.java
@@ -20,13 +20,13 @@
  * back end answers an attempt that was sent later. One that left as planned has not ended in this
  * sense. A state machine without I/O; not safe for use by several threads.
  */
-final class EndDetector {
+final class CrashDetector {
 
   /**
    * Records of back ends that ended lapse after three heartbeats, 3.6 s, and may be read a second
    * later; twice that leaves room for slow stores.
    */
-  static final long FORGET_MILLIS = 10_000;
+  static final long RETENTION_MILLIS = 10_000;
 
   /**
    * An attempt that was given up before its back end's connections closed may have run at that
@@ -35,7 +35,7 @@
    */
   private static final long GIVEN_UP_MILLIS = 3_000;
 
-  private static final long GIVEN_UP_BY_RECORD_MILLIS = FORGET_MILLIS;
+  private static final long GIVEN_UP_BY_RECORD_MILLIS = RETENTION_MILLIS;
 
   /** A back end that lived for so long after an attempt was given up has not ended of it. */
   private static final long OUTLIVED_MILLIS = 1_000;
@@ -89,7 +89,7 @@
     }
   }
 
-  private record Ended(EndEvidence evidence, long atMillis) {}
+  private record Ended(CrashEvidence evidence, long atMillis) {}
 
   private record Unplaced(LostAttempt attempt, long atMillis) {}
 
@@ -110,7 +110,7 @@
    *
    * @param wallMillis time of day, as the starts of lives are told
    */
-  LostAttempt atItsLife(
+  LostAttempt assignToIncarnation(
       LostAttempt attempt, BackendTable backends, long nowMillis, long wallMillis) {
     Long closed = closedAt.get(attempt.backend());
     if (attempt.isClosed()) {
@@ -133,7 +133,7 @@
   }
 
   private static LostAttempt lostAt(Backend life, LostAttempt attempt) {
-    return attempt.isGivenUp() ? attempt.givenUpAt(life.id()) : attempt.closedAt(life.id());
+    return attempt.isGivenUp() ? attempt.givenUpOn(life.id()) : attempt.closedOn(life.id());
   }
 
   /**
@@ -144,7 +144,7 @@
    * @param nowMillis monotonic time
    * @return the end of the back end where it is known already, else null
    */
-  @Nullable BackendEnd lost(LostAttempt attempt, BackendTable backends, long nowMillis) {
+  @Nullable BackendCrash recordLoss(LostAttempt attempt, BackendTable backends, long nowMillis) {
     String backend = attempt.backend();
     Ended known = ended.get(backend);
     if (known != null && reachedUnknownLife(attempt, known, backends)) {
@@ -152,11 +152,11 @@
       return null;
     }
     if (known != null) {
-      return new BackendEnd(backend, known.evidence(), List.of(attempt));
+      return new BackendCrash(backend, known.evidence(), List.of(attempt));
     }
     if (isReplaced(backend, backends)) {
-      ended.put(backend, new Ended(EndEvidence.REPLACED, nowMillis));
-      return new BackendEnd(backend, EndEvidence.REPLACED, List.of(attempt));
+      ended.put(backend, new Ended(CrashEvidence.REPLACED, nowMillis));
+      return new BackendCrash(backend, CrashEvidence.REPLACED, List.of(attempt));
     }
     TrackedBackend tracked = backends.find(backend);
     if (tracked == null || tracked.isLeaving()) {
@@ -171,7 +171,7 @@
    * Returns the attempts at a back end that were given up a moment ago, as its connections close:
    * they count as lost with those.
    */
-  List<LostAttempt> givenUpBefore(String backend, BackendTable backends, long nowMillis) {
+  List<LostAttempt> takeRecentlyGivenUp(String backend, BackendTable backends, long nowMillis) {
     Open broken = open.get(backend);
     if (broken == null) {
       return List.of();
@@ -208,7 +208,7 @@
    * Returns the attempts that waited for the record of the life that they reached: it has been
    * read, or none is there after a while.
    */
-  List<LostAttempt> placed(BackendTable backends, long nowMillis) {
+  List<LostAttempt> takeAssignable(BackendTable backends, long nowMillis) {
     List<LostAttempt> placed = new ArrayList<>();
     for (Iterator<Unplaced> each = unplaced.iterator(); each.hasNext(); ) {
       Unplaced waiting = each.next();
@@ -216,9 +216,9 @@
       if (hasNextLife(attempt.backend(), backends)) {
         each.remove();
         placed.add(attempt);
-      } else if (nowMillis - waiting.atMillis() > FORGET_MILLIS) {
+      } else if (nowMillis - waiting.atMillis() > RETENTION_MILLIS) {
         each.remove();
-        placed.add(attempt.atMeantLife());
+        placed.add(attempt.onIntendedIncarnation());
       }
     }
     return placed;
@@ -231,17 +231,17 @@
   }
 
   /** Returns whether it is not known what became of any back end, or which one it was. */
-  boolean isWaiting() {
+  boolean hasUnresolved() {
     return !open.isEmpty() || !unplaced.isEmpty();
   }
 
   /** Returns whether the life at which an attempt ran is not on record yet. */
-  boolean isUnplaced(LostAttempt attempt) {
+  boolean isUnassigned(LostAttempt attempt) {
     return unplaced.stream().anyMatch(each -> each.attempt() == attempt);
   }
 
   /** Returns whether it is not known what became of a back end. */
-  boolean isWaitingFor(String backend) {
+  boolean isUnresolved(String backend) {
     return open.containsKey(backend);
   }
 
@@ -250,8 +250,8 @@
    *
    * @param evidence what shows that nothing listens there
    */
-  @Nullable BackendEnd unreachable(
-      String backend, EndEvidence evidence, BackendTable backends, long nowMillis) {
+  @Nullable BackendCrash recordUnreachable(
+      String backend, CrashEvidence evidence, BackendTable backends, long nowMillis) {
     Open broken = open.remove(backend);
     if (broken == null) {
       return null;
@@ -260,10 +260,10 @@
     return end(backend, broken.allLost(since), evidence, nowMillis);
   }
 
-  private BackendEnd end(
-      String backend, List<LostAttempt> lost, EndEvidence evidence, long nowMillis) {
+  private BackendCrash end(
+      String backend, List<LostAttempt> lost, CrashEvidence evidence, long nowMillis) {
     ended.put(backend, new Ended(evidence, nowMillis));
-    return new BackendEnd(backend, evidence, lost);
+    return new BackendCrash(backend, evidence, lost);
   }
 
   /**
@@ -271,8 +271,8 @@
    *
    * @return back ends that have ended
    */
-  List<BackendEnd> observe(BackendTable backends, long nowMillis) {
-    List<BackendEnd> ends = new ArrayList<>();
+  List<BackendCrash> checkRecords(BackendTable backends, long nowMillis) {
+    List<BackendCrash> ends = new ArrayList<>();
     for (Iterator<Map.Entry<String, Open>> each = open.entrySet().iterator(); each.hasNext(); ) {
       Map.Entry<String, Open> entry = each.next();
       String backend = entry.getKey();
@@ -284,7 +284,7 @@
             isReplaced(backend, backends)
                 || backends.all().stream()
                     .anyMatch(other -> other.backend().address().equals(broken.address));
-        EndEvidence evidence = replaced ? EndEvidence.REPLACED : EndEvidence.RECORD_GONE;
+        CrashEvidence evidence = replaced ? CrashEvidence.REPLACED : CrashEvidence.RECORD_GONE;
         List<LostAttempt> lost = broken.allLost(nowMillis - GIVEN_UP_BY_RECORD_MILLIS);
         if (!lost.isEmpty()) {
           ends.add(end(backend, lost, evidence, nowMillis));
@@ -293,8 +293,8 @@
         each.remove();
       }
     }
-    ended.values().removeIf(end -> nowMillis - end.atMillis() > FORGET_MILLIS);
-    closedAt.values().removeIf(at -> nowMillis - at > FORGET_MILLIS);
+    ended.values().removeIf(end -> nowMillis - end.atMillis() > RETENTION_MILLIS);
+    closedAt.values().removeIf(at -> nowMillis - at > RETENTION_MILLIS);
     return ends;
   }
 
@@ -302,6 +302,6 @@
   private static boolean isSettled(TrackedBackend tracked, Open broken, long nowMillis) {
     return tracked.aliveAtMillis() > broken.latestMillis
         || tracked.isLeaving()
-        || nowMillis - broken.latestMillis > FORGET_MILLIS;
+        || nowMillis - broken.latestMillis > RETENTION_MILLIS;
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/EndEvidence.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashEvidence.java
@@ -1,7 +1,7 @@
 package org.lockdale.gateway.quarantine;
 
 /** What shows that a back end has ended, as opposed to a connection to it. */
-enum EndEvidence {
+enum CrashEvidence {
   /** Its address refuses connections; seen within milliseconds. */
   REFUSES_CONNECTIONS,
   /**
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/EndWatch.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashWatch.java
@@ -19,7 +19,7 @@
  * looks at their records while it is not known. Runs on one event loop; attempts may be told from
  * any thread.
  */
-public final class EndWatch {
+public final class CrashWatch {
 
   /**
    * An ended process has let go of its port by then, and the attempts that it took along have all
@@ -33,10 +33,10 @@
   interface Listener {
 
     /** A connection was closed under an attempt; whether its back end ended is not known yet. */
-    void onClosed(LostAttempt attempt);
+    void onConnectionClosed(LostAttempt attempt);
 
     /** A back end has ended. */
-    void onEnd(BackendEnd end);
+    void onCrash(BackendCrash end);
   }
 
   private final ScheduledExecutorService eventLoop;
@@ -44,7 +44,7 @@
   private final Supplier<BackendTable> backends;
   private final Listener listener;
   private final Time time;
-  private final EndDetector detector = new EndDetector();
+  private final CrashDetector detector = new CrashDetector();
   private final Set<String> probing = new HashSet<>();
   private boolean looking;
 
@@ -57,7 +57,7 @@
    * @param listener told of what is found
    * @param time clock
    */
-  EndWatch(
+  CrashWatch(
       ScheduledExecutorService eventLoop,
       Function<InetSocketAddress, CompletableFuture<Reachability>> prober,
       Supplier<BackendTable> backends,
@@ -71,20 +71,21 @@
   }
 
   /** Takes in an attempt that broke off. */
-  void lost(LostAttempt attempt) {
+  void attemptLost(LostAttempt attempt) {
     eventLoop.execute(() -> accept(attempt));
   }
 
   private void accept(LostAttempt lost) {
     long now = time.monotonicMillis();
-    LostAttempt attempt = detector.atItsLife(lost, backends.get(), now, time.wallMillis());
+    LostAttempt attempt =
+        detector.assignToIncarnation(lost, backends.get(), now, time.wallMillis());
     String backend = attempt.backend();
-    BackendEnd known = detector.lost(attempt, backends.get(), now);
+    BackendCrash known = detector.recordLoss(attempt, backends.get(), now);
     if (known != null) {
       tell(known);
-    } else if (detector.isUnplaced(attempt)) {
+    } else if (detector.isUnassigned(attempt)) {
       look();
-    } else if (!detector.isWaitingFor(backend)) {
+    } else if (!detector.isUnresolved(backend)) {
       if (!attempt.isGivenUp()) {
         Logger.info("event=backend-left backend={} request={}", backend, attempt.request().id());
       }
@@ -98,10 +99,10 @@
 
   private void broken(LostAttempt attempt) {
     if (attempt.isClosed()) {
-      listener.onClosed(attempt);
+      listener.onConnectionClosed(attempt);
       detector
-          .givenUpBefore(attempt.backend(), backends.get(), time.monotonicMillis())
-          .forEach(listener::onClosed);
+          .takeRecentlyGivenUp(attempt.backend(), backends.get(), time.monotonicMillis())
+          .forEach(listener::onConnectionClosed);
     }
     if (probing.add(attempt.backend())) {
       probeAfterDelay(attempt, false);
@@ -129,11 +130,15 @@
     }
     probing.remove(backend);
     if (reachability == Reachability.REFUSES) {
-      tell(detector.unreachable(backend, EndEvidence.REFUSES_CONNECTIONS, backends.get(), now));
+      tell(
+          detector.recordUnreachable(
+              backend, CrashEvidence.REFUSES_CONNECTIONS, backends.get(), now));
       return;
     }
     if (reachability == Reachability.CLOSES) {
-      tell(detector.unreachable(backend, EndEvidence.CLOSES_CONNECTIONS, backends.get(), now));
+      tell(
+          detector.recordUnreachable(
+              backend, CrashEvidence.CLOSES_CONNECTIONS, backends.get(), now));
       return;
     }
     // A process that listens may be the next one already; its record will tell.
@@ -150,14 +155,14 @@
 
   private void looked() {
     looking = false;
-    detector.observe(backends.get(), time.monotonicMillis()).forEach(this::tell);
-    detector.placed(backends.get(), time.monotonicMillis()).forEach(this::accept);
-    if (detector.isWaiting()) {
+    detector.checkRecords(backends.get(), time.monotonicMillis()).forEach(this::tell);
+    detector.takeAssignable(backends.get(), time.monotonicMillis()).forEach(this::accept);
+    if (detector.hasUnresolved()) {
       look();
     }
   }
 
-  private void tell(@Nullable BackendEnd end) {
+  private void tell(@Nullable BackendCrash end) {
     if (end == null) {
       return;
     }
@@ -166,6 +171,6 @@
         end.backend(),
         end.evidence(),
         end.lost().size());
-    listener.onEnd(end);
+    listener.onCrash(end);
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/LostAttempt.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/LostAttempt.java
@@ -43,12 +43,12 @@
    * Returns the attempt as one that ran at another life of its server. Nobody sees what becomes of
    * it there, since this node cut it; so it counts as closed until that life is heard.
    */
-  LostAttempt closedAt(String life) {
+  LostAttempt closedOn(String life) {
     return at(life, Loss.CLOSED);
   }
 
   /** Returns the attempt as one that this node gave up at another life of its server. */
-  LostAttempt givenUpAt(String life) {
+  LostAttempt givenUpOn(String life) {
     return at(life, Loss.GIVEN_UP);
   }
 
@@ -58,7 +58,7 @@
   }
 
   /** Returns the attempt as one that reached the life that was meant, whenever it connected. */
-  LostAttempt atMeantLife() {
+  LostAttempt onIntendedIncarnation() {
     return new LostAttempt(backend, address, request, caller, answerMillis, loss, NEVER);
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/Quarantine.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/Quarantine.java
@@ -58,7 +58,7 @@
 
   private final Context context;
   private final Section<Suspects> section;
-  private final EndWatch watch;
+  private final CrashWatch watch;
   private final SuspectLedger ledger;
   private final SuspectRecorder recorder;
   private final SuspectSender sender;
@@ -81,7 +81,7 @@
     this.section = section;
     this.ledger = new SuspectLedger(holdMillis);
     this.watch =
-        new EndWatch(
+        new CrashWatch(
             context.eventLoop(), context.prober(), this::backends, listener(), context.time());
     this.recorder =
         new SuspectRecorder(
@@ -136,7 +136,7 @@
 
   /** Takes in an attempt that broke off; from any thread. */
   public void lost(LostAttempt attempt) {
-    watch.lost(attempt);
+    watch.attemptLost(attempt);
   }
 
   /**
@@ -146,7 +146,7 @@
    * @param caller name of the tenant, or the key where there is none
    */
   public Optional<HeldRequest> held(CallerRequest request, String caller) {
-    return section.value().held(request, caller);
+    return section.value().quarantined(request, caller);
   }
 
   /**
@@ -158,14 +158,14 @@
   public void answered(CallerRequest request, String caller) {
     section
         .value()
-        .suspected(request, caller)
+        .fingerprintIfSuspect(request, caller)
         .ifPresent(
             fingerprint -> context.eventLoop().execute(() -> forgive(fingerprint, "answered")));
   }
 
   /** Returns the requests that are held back; from any thread. */
   Collection<HeldRequest> held() {
-    return section.value().held();
+    return section.value().quarantined();
   }
 
   /**
@@ -193,24 +193,24 @@
   }
 
   private void changedHere(Suspect suspect) {
-    recorder.seenHere(suspect.fingerprint());
-    sender.tell(suspect.fingerprint());
+    recorder.markSeenLocally(suspect.fingerprint());
+    sender.broadcast(suspect.fingerprint());
   }
 
   private BackendTable backends() {
     return context.backends().get().value();
   }
 
-  private EndWatch.Listener listener() {
-    return new EndWatch.Listener() {
+  private CrashWatch.Listener listener() {
+    return new CrashWatch.Listener() {
       @Override
-      public void onClosed(LostAttempt attempt) {
+      public void onConnectionClosed(LostAttempt attempt) {
         suspect("connection-closed-under", attempt);
         publishSoon();
       }
 
       @Override
-      public void onEnd(BackendEnd end) {
+      public void onCrash(BackendCrash end) {
         end.lost().forEach(lost -> suspect("backend-ended-under", lost));
         publishSoon();
       }
@@ -235,7 +235,7 @@
     int sketch = RequestFingerprint.sketchOf(lost.request(), lost.caller());
     Map<String, SuspectEnd> ends = Map.of(lost.backend(), new SuspectEnd(early, false));
     Suspect suspect = new Suspect(fingerprint, sketch, ends);
-    if (ledger.lost(suspect, context.time().monotonicMillis())) {
+    if (ledger.recordLoss(suspect, context.time().monotonicMillis())) {
       changedHere(suspect);
     }
   }
@@ -283,9 +283,9 @@
    * @param attempts attempts of suspects
    */
   public void observed(Collection<Suspect> rows, Collection<SuspectAttempt> attempts) {
-    journal.observed(attempts);
+    journal.update(attempts);
     boolean news = countUnconcluded();
-    for (Suspect row : recorder.observed(rows)) {
+    for (Suspect row : recorder.update(rows)) {
       news |= merge(row);
     }
     if (news || !known) {
@@ -300,7 +300,7 @@
   /** Counts what nodes that have ended had sent to back ends that have ended since. */
   private boolean countUnconcluded() {
     boolean news = false;
-    for (SuspectAttempt attempt : journal.ended(backends())) {
+    for (SuspectAttempt attempt : journal.takeCrashed(backends())) {
       Logger.info(
           "event=backend-ended-under backend={} fingerprint={} evidence=unconcluded",
           attempt.backend(),
@@ -337,10 +337,10 @@
     lives.observe();
     boolean changed = false;
     BackendTable table = backends();
-    for (String backend : ledger.ended()) {
+    for (String backend : ledger.crashedBackends()) {
       TrackedBackend tracked = table.find(backend);
-      long lived = tracked == null ? Long.MIN_VALUE : lives.livedAtMillis(tracked);
-      List<Suspect> forgiven = ledger.alive(backend, lived);
+      long lived = tracked == null ? Long.MIN_VALUE : lives.lastAliveAtMillis(tracked);
+      List<Suspect> forgiven = ledger.recordAlive(backend, lived);
       if (!forgiven.isEmpty()) {
         boolean answered = tracked != null && tracked.aliveAtMillis() == lived;
         Logger.info(
@@ -364,7 +364,7 @@
 
   private void publish() {
     publishing = false;
-    List<HeldRequest> held = ledger.held();
+    List<HeldRequest> held = ledger.quarantined();
     for (HeldRequest request : held) {
       boolean before =
           heldBefore.stream().anyMatch(other -> other.fingerprint().equals(request.fingerprint()));
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectLedger.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectLedger.java
@@ -28,14 +28,14 @@
 final class SuspectLedger {
 
   /** Weight of three ends before the answer began. */
-  static final int HELD_WEIGHT = 9;
+  static final int QUARANTINE_WEIGHT = 9;
 
   /**
    * Weight of five such ends, which it takes while many requests come to three: servers that end
    * all the time end under any request, and innocent ones would be held back. Two sends beyond the
    * third end are borne by the deployments, which allow three.
    */
-  private static final int HELD_WEIGHT_IN_CROWD = 15;
+  private static final int QUARANTINE_WEIGHT_IN_CROWD = 15;
 
   /**
    * With less, three requests that end servers in several copies, and their neighbours, make a
@@ -47,7 +47,7 @@
    * Weight of one such end. All that run there get it, so it says little of each, but the nodes
    * that know of it may all be gone by the next.
    */
-  static final int FIRST_WEIGHT = 3;
+  static final int SINGLE_CRASH_WEIGHT = 3;
 
   /** Weight of two such ends: the next may decide, so all nodes have to know by then. */
   static final int WATCHED_WEIGHT = 6;
@@ -100,7 +100,7 @@
    *
    * @return whether any of it is new
    */
-  boolean lost(Suspect seen, long nowMillis) {
+  boolean recordLoss(Suspect seen, long nowMillis) {
     boolean news = merge(seen, nowMillis);
     Entry entry = entries.get(seen.fingerprint());
     seen.ends().keySet().forEach(backend -> entry.learnedAt.put(backend, nowMillis));
@@ -148,7 +148,7 @@
   }
 
   /** Returns when the latest end of a request was learned; never for one that is not known. */
-  long lastEndAtMillis(RequestFingerprint fingerprint) {
+  long lastCrashAtMillis(RequestFingerprint fingerprint) {
     Entry entry = entries.get(fingerprint);
     return entry == null ? Long.MIN_VALUE / 2 : entry.newEndAtMillis;
   }
@@ -169,7 +169,7 @@
   }
 
   /** Returns the back ends whose ends speak against any request. */
-  Set<String> ended() {
+  Set<String> crashedBackends() {
     Set<String> ended = new TreeSet<>();
     for (Entry entry : entries.values()) {
       entry.suspect.ends().keySet().stream().filter(entry::isEnded).forEach(ended::add);
@@ -183,7 +183,7 @@
    *
    * @return requests that were suspected for an end that did not happen
    */
-  List<Suspect> alive(String backend, long atMillis) {
+  List<Suspect> recordAlive(String backend, long atMillis) {
     List<Suspect> changed = new ArrayList<>();
     for (Entry entry : entries.values()) {
       if (entry.isEnded(backend) && entry.learnedAt.get(backend) < atMillis) {
@@ -218,17 +218,19 @@
   }
 
   /** Returns the requests that are held back. */
-  List<HeldRequest> held() {
+  List<HeldRequest> quarantined() {
     List<Entry> heavy =
-        entries.values().stream().filter(entry -> entry.suspect.weight() >= HELD_WEIGHT).toList();
-    int enough = heavy.size() > CROWD ? HELD_WEIGHT_IN_CROWD : HELD_WEIGHT;
+        entries.values().stream()
+            .filter(entry -> entry.suspect.weight() >= QUARANTINE_WEIGHT)
+            .toList();
+    int enough = heavy.size() > CROWD ? QUARANTINE_WEIGHT_IN_CROWD : QUARANTINE_WEIGHT;
     return heavy.stream()
         .filter(entry -> entry.suspect.weight() >= enough)
-        .map(this::held)
+        .map(this::quarantined)
         .toList();
   }
 
-  private HeldRequest held(Entry entry) {
+  private HeldRequest quarantined(Entry entry) {
     Suspect suspect = entry.suspect;
     return new HeldRequest(
         suspect.fingerprint(), suspect.ends().keySet(), entry.newEndAtMillis + holdMillis);
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectRecorder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectRecorder.java
@@ -62,7 +62,7 @@
   private final BooleanSupplier coordinator;
   private final Executor eventLoop;
   private final Time time;
-  private final Set<RequestFingerprint> seenHere = new HashSet<>();
+  private final Set<RequestFingerprint> seenLocally = new HashSet<>();
   private final Map<RequestFingerprint, Suspect> recorded = new HashMap<>();
   private final Map<RequestFingerprint, Missing> missing = new HashMap<>();
   private final Map<RequestFingerprint, Long> idleSince = new HashMap<>();
@@ -84,8 +84,8 @@
   }
 
   /** Notes that this node has seen a back end end under a request, or has forgiven it. */
-  void seenHere(RequestFingerprint fingerprint) {
-    seenHere.add(fingerprint);
+  void markSeenLocally(RequestFingerprint fingerprint) {
+    seenLocally.add(fingerprint);
   }
 
   /**
@@ -94,7 +94,7 @@
    * @return those that were not there, or otherwise, at the last reading; what the ledger has
    *     forgotten since must not come back from a row that nobody has removed yet
    */
-  List<Suspect> observed(Collection<Suspect> rows) {
+  List<Suspect> update(Collection<Suspect> rows) {
     Map<RequestFingerprint, Suspect> before = Map.copyOf(recorded);
     recorded.clear();
     rows.forEach(row -> recorded.put(row.fingerprint(), row));
@@ -105,7 +105,7 @@
   void tick() {
     long now = time.monotonicMillis();
     List<Suspect> known = ledger.all();
-    seenHere.removeIf(fingerprint -> ledger.find(fingerprint).isEmpty());
+    seenLocally.removeIf(fingerprint -> ledger.find(fingerprint).isEmpty());
     findMissing(known, now);
     if (now < retryAtMillis) {
       return;
@@ -142,19 +142,19 @@
 
   private boolean hasRoomFor(Suspect suspect, int rows, int watchedRows, long nowMillis) {
     int weight = suspect.weight();
-    if (weight >= SuspectLedger.HELD_WEIGHT) {
+    if (weight >= SuspectLedger.QUARANTINE_WEIGHT) {
       return rows < MAX_ROWS;
     }
     if (weight >= SuspectLedger.WATCHED_WEIGHT) {
       return watchedRows < MAX_WATCHED_ROWS;
     }
-    return weight >= SuspectLedger.FIRST_WEIGHT
+    return weight >= SuspectLedger.SINGLE_CRASH_WEIGHT
         && rows < MAX_FIRST_ROWS
         && ageOf(suspect.fingerprint(), nowMillis) < FIRST_WRITE_MILLIS;
   }
 
   private long ageOf(RequestFingerprint fingerprint, long nowMillis) {
-    return nowMillis - ledger.lastEndAtMillis(fingerprint);
+    return nowMillis - ledger.lastCrashAtMillis(fingerprint);
   }
 
   private static boolean isWatched(Suspect suspect) {
@@ -167,7 +167,7 @@
   }
 
   private long waitOf(RequestFingerprint fingerprint) {
-    if (seenHere.contains(fingerprint)) {
+    if (seenLocally.contains(fingerprint)) {
       return 0;
     }
     return coordinator.getAsBoolean() ? COORDINATOR_WAIT_MILLIS : OTHERS_WAIT_MILLIS;
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectSender.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectSender.java
@@ -47,7 +47,7 @@
   }
 
   /** Tells all other nodes of a suspect. */
-  void tell(RequestFingerprint fingerprint) {
+  void broadcast(RequestFingerprint fingerprint) {
     if (waiting.isEmpty()) {
       eventLoop.schedule(this::gathered, GATHER_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -60,7 +60,7 @@
     send(told, 0);
     repeat(told, FIRST_REPEAT_MILLIS, 0);
     for (long delay : LATER_REPEATS_MILLIS) {
-      repeat(told, delay, SuspectLedger.HELD_WEIGHT);
+      repeat(told, delay, SuspectLedger.QUARANTINE_WEIGHT);
     }
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/Suspects.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/Suspects.java
@@ -20,16 +20,16 @@
 
   private final Set<Integer> sketches = new HashSet<>();
   private final Set<RequestFingerprint> suspected;
-  private final Map<RequestFingerprint, HeldRequest> held = new HashMap<>();
+  private final Map<RequestFingerprint, HeldRequest> quarantined = new HashMap<>();
 
-  Suspects(Collection<Suspect> suspects, Collection<HeldRequest> held) {
+  Suspects(Collection<Suspect> suspects, Collection<HeldRequest> quarantined) {
     Set<RequestFingerprint> fingerprints = new HashSet<>();
     for (Suspect suspect : suspects) {
       sketches.add(suspect.sketch());
       fingerprints.add(suspect.fingerprint());
     }
     this.suspected = fingerprints;
-    held.forEach(request -> this.held.put(request.fingerprint(), request));
+    quarantined.forEach(request -> this.quarantined.put(request.fingerprint(), request));
   }
 
   /**
@@ -43,14 +43,14 @@
   }
 
   /** Returns why a request is held back, or empty where it may be sent. */
-  Optional<HeldRequest> held(CallerRequest request, String caller) {
-    return held.isEmpty() || !isLike(request, caller)
+  Optional<HeldRequest> quarantined(CallerRequest request, String caller) {
+    return quarantined.isEmpty() || !isLike(request, caller)
         ? Optional.empty()
-        : Optional.ofNullable(held.get(RequestFingerprint.of(request, caller)));
+        : Optional.ofNullable(quarantined.get(RequestFingerprint.of(request, caller)));
   }
 
   /** Returns the fingerprint of a request under which back ends ended; empty for all others. */
-  Optional<RequestFingerprint> suspected(CallerRequest request, String caller) {
+  Optional<RequestFingerprint> fingerprintIfSuspect(CallerRequest request, String caller) {
     if (!isLike(request, caller)) {
       return Optional.empty();
     }
@@ -59,7 +59,7 @@
 
   /** Returns an attempt of a request under which back ends ended; empty for all others. */
   Optional<SuspectAttempt> attempt(CallerRequest request, String caller, String backend) {
-    return suspected(request, caller)
+    return fingerprintIfSuspect(request, caller)
         .map(
             fingerprint ->
                 new SuspectAttempt(
@@ -67,7 +67,7 @@
   }
 
   /** Returns the requests that are held back. */
-  public Collection<HeldRequest> held() {
-    return List.copyOf(held.values());
+  public Collection<HeldRequest> quarantined() {
+    return List.copyOf(quarantined.values());
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/life/LifeWatchTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationMonitorTest.java
@@ -28,7 +28,7 @@
  * sent some 20 requests to its record and were told each time that it was not meant. The first such
  * answer shows that this life is over.
  */
-public final class LifeWatchTest {
+public final class IncarnationMonitorTest {
 
   private static final String MODEL = "model";
 
--- a/gateway/src/test/java/org/lockdale/gateway/life/LifeOrderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationOrderTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 
 /** A late word of a former life changes nothing; a clock that was set back does no lasting harm. */
-public final class LifeOrderTest {
+public final class IncarnationOrderTest {
 
   private LifeOrder order;
 
@@ -54,7 +54,7 @@
     reliedOn("i@200", false, 0);
     assertEquals(reliedOn("i@100", false, 10), "i@200");
     long due = order.decidesAtMillis();
-    assertEquals(due, 10 + LifeOrder.LATE_WORD_MILLIS);
+    assertEquals(due, 10 + LifeOrder.STALE_RECORD_MILLIS);
     assertEquals(reliedOn("i@100", false, due - 1), "i@200");
     assertEquals(reliedOn("i@100", false, due), "i@100");
   }
--- a/gateway/src/test/java/org/lockdale/gateway/life/LifeSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulation.java
@@ -25,7 +25,7 @@
  * former life are carried out late. The order of lives, what shows their ends, and what is learned
  * of weights and work are the real code.
  */
-final class LifeSimulation {
+final class IncarnationSimulation {
 
   static final int NODES = 100;
   static final int ENGINES = 64;
@@ -203,7 +203,7 @@
   private int left;
   private long newest = 1;
 
-  LifeSimulation(long seed) {
+  IncarnationSimulation(long seed) {
     random = new Random(seed);
   }
 
@@ -239,7 +239,7 @@
     time.schedule(1_000_000, this::crash);
     time.schedule(2_000_000, this::nameWeights);
     time.schedule(1_500_000, this::cut);
-    time.runMillis(TROUBLE_MILLIS + LifeOrder.LATE_WORD_MILLIS + CONTACT_MILLIS);
+    time.runMillis(TROUBLE_MILLIS + LifeOrder.STALE_RECORD_MILLIS + CONTACT_MILLIS);
     return result();
   }
 
--- a/gateway/src/test/java/org/lockdale/gateway/life/LifeSimulationTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulationTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 
 /** All nodes come to know which life of each server there is, whatever happened before. */
-public final class LifeSimulationTest {
+public final class IncarnationSimulationTest {
 
   /** A few seeds in CI; {@code -Dlife.seeds=200} by hand. */
   private static final int SEEDS = Integer.getInteger("life.seeds", 4);
@@ -17,7 +17,7 @@
     long sends = 0;
     long misdirected = 0;
     for (int seed = 0; seed < SEEDS; seed++) {
-      LifeSimulation.Result result = new LifeSimulation(seed).run();
+      IncarnationSimulation.Result result = new IncarnationSimulation(seed).run();
       String what = "seed " + seed + ": " + result;
       assertEquals(result.left(), 0, what);
       assertEquals(result.wrongAtTheEnd(), 0, what);
--- a/gateway/src/test/java/org/lockdale/gateway/life/LifeEvidenceTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/LivenessEvidenceTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.Test;
 
 /** What shows that a life goes on, and what may be its server's next one. */
-public final class LifeEvidenceTest {
+public final class LivenessEvidenceTest {
 
   private static final long STEP_MILLIS = 2_000;
   private static final long START_MILLIS = 100_000;
@@ -66,7 +66,7 @@
   @Test
   public void aRecordThatStandsShowsNothingOfTheTimeInWhichAnEndedOnesMayStandAsWell() {
     currentFrom(START_MILLIS, START_MILLIS + 20_000);
-    assertEquals(evidence.livedAtMillis(target), START_MILLIS + 10_000);
+    assertEquals(evidence.lastAliveAtMillis(target), START_MILLIS + 10_000);
   }
 
   /** A store that was away has had no time to drop what lapsed meanwhile. */
@@ -74,10 +74,10 @@
   public void afterAnOutageRecordsMustStandAnew() {
     currentFrom(START_MILLIS, START_MILLIS + 20_000);
     currentFrom(START_MILLIS + 60_000, START_MILLIS + 68_000);
-    assertEquals(evidence.livedAtMillis(target), START_MILLIS + 10_000);
+    assertEquals(evidence.lastAliveAtMillis(target), START_MILLIS + 10_000);
     assertTrue(!isShownByAnswer(START_MILLIS + 30_000, START_MILLIS + 68_000));
     currentFrom(START_MILLIS + 70_000, START_MILLIS + 72_000);
-    assertEquals(evidence.livedAtMillis(target), START_MILLIS + 62_000);
+    assertEquals(evidence.lastAliveAtMillis(target), START_MILLIS + 62_000);
   }
 
   @Test
@@ -85,8 +85,8 @@
     currentFrom(START_MILLIS, START_MILLIS + 20_000);
     target.end();
     assertTrue(!isShownByAnswer(START_MILLIS, START_MILLIS + 20_000));
-    assertTrue(evidence.livedAtMillis(target) < 0);
+    assertTrue(evidence.lastAliveAtMillis(target) < 0);
     backends.publish(BackendTable.EMPTY, START_MILLIS + 20_000);
-    assertTrue(evidence.livedAtMillis(TrackedBackend.of(backend("i-1@1"))) < 0);
+    assertTrue(evidence.lastAliveAtMillis(TrackedBackend.of(backend("i-1@1"))) < 0);
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/AttemptJournalTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/AttemptJournalTest.java
@@ -77,27 +77,27 @@
   public void whatAKilledNodeHadSentCountsOnceItsBackEndHasANextLife() {
     journal.begin(ATTEMPT);
     AttemptJournal next = new AttemptJournal(rows, Runnable::run, time);
-    next.observed(rows.present);
-    assertEquals(next.ended(table("i-1@1")), List.of());
-    assertEquals(next.ended(table("i-1@2")), List.of(ATTEMPT));
-    assertEquals(next.ended(table("i-1@2")), List.of(), "once");
+    next.update(rows.present);
+    assertEquals(next.takeCrashed(table("i-1@1")), List.of());
+    assertEquals(next.takeCrashed(table("i-1@2")), List.of(ATTEMPT));
+    assertEquals(next.takeCrashed(table("i-1@2")), List.of(), "once");
   }
 
   @Test
   public void aLifeWithoutARecordIsOverAfterAWhile() {
-    journal.observed(List.of(ATTEMPT));
-    assertEquals(journal.ended(table("i-2@1")), List.of(), "its record may not be read yet");
+    journal.update(List.of(ATTEMPT));
+    assertEquals(journal.takeCrashed(table("i-2@1")), List.of(), "its record may not be read yet");
     time.runMillis(5_000);
-    assertEquals(journal.ended(table()), List.of(), "no record is read");
-    assertEquals(journal.ended(table("i-2@1")), List.of(ATTEMPT));
+    assertEquals(journal.takeCrashed(table()), List.of(), "no record is read");
+    assertEquals(journal.takeCrashed(table("i-2@1")), List.of(ATTEMPT));
   }
 
   /** A table that was read before the life began has the one before it. */
   @Test
   public void anEarlierLifeOnRecordShowsNothing() {
-    journal.observed(List.of(ATTEMPT));
+    journal.update(List.of(ATTEMPT));
     time.runMillis(5_000);
-    assertEquals(journal.ended(table("i-1@0")), List.of());
+    assertEquals(journal.takeCrashed(table("i-1@0")), List.of());
   }
 
   @Test
@@ -133,7 +133,7 @@
   @Test
   public void rowsOfNodesThatAreGoneAreRemovedByTheCoordinator() {
     rows.present.add(ATTEMPT);
-    journal.observed(rows.present);
+    journal.update(rows.present);
     tickFor(29_000, true);
     assertEquals(rows.present, List.of(ATTEMPT));
     tickFor(2_000, true);
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/EndDetectorTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/CrashDetectorTest.java
@@ -16,19 +16,19 @@
 import org.testng.annotations.Test;
 
 /** A back end that ended is told from a connection that broke. */
-public final class EndDetectorTest {
+public final class CrashDetectorTest {
 
   private static final InetSocketAddress ADDRESS =
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 7001);
   private static final InetSocketAddress OTHER_ADDRESS =
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 7002);
 
-  private EndDetector detector;
+  private CrashDetector detector;
   private BackendTable table;
 
   @BeforeMethod
   public void start() {
-    detector = new EndDetector();
+    detector = new CrashDetector();
     table = BackendTable.EMPTY.with(List.of(backend("i-1", ADDRESS, false)));
   }
 
@@ -47,31 +47,32 @@
         0);
   }
 
-  private BackendEnd lose(String requestId, long nowMillis) {
-    return detector.lost(lost(requestId), table, nowMillis);
+  private BackendCrash lose(String requestId, long nowMillis) {
+    return detector.recordLoss(lost(requestId), table, nowMillis);
   }
 
   @Test
   public void aRefusedConnectionShowsTheEndOfAllThatWasLost() {
     assertNull(lose("r1", 0));
     assertNull(lose("r2", 1));
-    BackendEnd end = detector.unreachable("i-1", EndEvidence.REFUSES_CONNECTIONS, table, 20);
-    assertEquals(end.evidence(), EndEvidence.REFUSES_CONNECTIONS);
+    BackendCrash end =
+        detector.recordUnreachable("i-1", CrashEvidence.REFUSES_CONNECTIONS, table, 20);
+    assertEquals(end.evidence(), CrashEvidence.REFUSES_CONNECTIONS);
     assertEquals(end.lost().size(), 2);
-    assertFalse(detector.isWaiting());
+    assertFalse(detector.hasUnresolved());
   }
 
   /** Callers go on sending to the address of a server that has ended while a proxy takes them. */
   @Test
   public void fewAttemptsWaitForTheRecordOfTheNextLife() {
     lose("r", 0);
-    detector.unreachable("i-1", EndEvidence.REFUSES_CONNECTIONS, table, 20);
+    detector.recordUnreachable("i-1", CrashEvidence.REFUSES_CONNECTIONS, table, 20);
     int counted = 0;
     for (int number = 0; number < 100; number++) {
       CallerRequest request = Requests.of("r" + number, "/a", "body");
       LostAttempt later =
           new LostAttempt("i-1", ADDRESS, request, "tenant", 0, LostAttempt.Loss.CLOSED, 50);
-      counted += detector.lost(later, table, 60) == null ? 0 : 1;
+      counted += detector.recordLoss(later, table, 60) == null ? 0 : 1;
     }
     assertEquals(counted, 100 - 64);
   }
@@ -79,18 +80,18 @@
   @Test
   public void anAttemptThatIsToldAfterTheEndIsPartOfIt() {
     lose("r1", 0);
-    detector.unreachable("i-1", EndEvidence.REFUSES_CONNECTIONS, table, 20);
-    BackendEnd late = lose("r2", 400);
+    detector.recordUnreachable("i-1", CrashEvidence.REFUSES_CONNECTIONS, table, 20);
+    BackendCrash late = lose("r2", 400);
     assertEquals(late.lost().get(0).request().id(), "r2");
-    assertEquals(late.evidence(), EndEvidence.REFUSES_CONNECTIONS);
+    assertEquals(late.evidence(), CrashEvidence.REFUSES_CONNECTIONS);
   }
 
   @Test
   public void aBackendThatAnswersALaterAttemptHasNotEnded() {
     lose("r1", 100);
     table.find("i-1").answered(101);
-    assertTrue(detector.observe(table, 350).isEmpty());
-    assertFalse(detector.isWaiting());
+    assertTrue(detector.checkRecords(table, 350).isEmpty());
+    assertFalse(detector.hasUnresolved());
   }
 
   /** A slow node reads late what a back end wrote before its end. */
@@ -98,40 +99,40 @@
   public void anAnswerToAnEarlierAttemptIsNoSignOfLifeWheneverItIsRead() {
     lose("r1", 100);
     table.find("i-1").answered(100);
-    detector.observe(table, 350);
-    assertTrue(detector.isWaitingFor("i-1"));
+    detector.checkRecords(table, 350);
+    assertTrue(detector.isUnresolved("i-1"));
   }
 
   @Test
   public void anotherIncarnationAtTheAddressShowsTheEnd() {
     lose("r1", 0);
     BackendTable after = table.with(List.of(backend("i-2", ADDRESS, false)));
-    assertEquals(detector.observe(after, 3_000).get(0).evidence(), EndEvidence.REPLACED);
+    assertEquals(detector.checkRecords(after, 3_000).get(0).evidence(), CrashEvidence.REPLACED);
   }
 
   @Test
   public void aRecordThatIsGoneShowsTheEnd() {
     lose("r1", 0);
     BackendTable after = table.with(List.of(backend("i-2", OTHER_ADDRESS, false)));
-    assertEquals(detector.observe(after, 3_000).get(0).evidence(), EndEvidence.RECORD_GONE);
+    assertEquals(detector.checkRecords(after, 3_000).get(0).evidence(), CrashEvidence.RECORD_GONE);
   }
 
   @Test
   public void oneThatLeavesAsPlannedIsNoEnd() {
     lose("r1", 0);
     BackendTable leaving = table.with(List.of(backend("i-1", ADDRESS, true)));
-    assertTrue(detector.observe(leaving, 250).isEmpty());
-    assertTrue(detector.observe(table.with(List.of()), 3_000).isEmpty());
+    assertTrue(detector.checkRecords(leaving, 250).isEmpty());
+    assertTrue(detector.checkRecords(table.with(List.of()), 3_000).isEmpty());
   }
 
   @Test
   public void attemptsAtOneThatLeavesOrHasLeftAreNotWaitedFor() {
     table = table.with(List.of(backend("i-1", ADDRESS, true)));
     lose("r1", 0);
-    assertFalse(detector.isWaiting());
+    assertFalse(detector.hasUnresolved());
     table = table.with(List.of());
     lose("r2", 10);
-    assertFalse(detector.isWaiting());
+    assertFalse(detector.hasUnresolved());
   }
 
   /** The store may be away, so that no record tells; innocent requests would be held back. */
@@ -140,44 +141,44 @@
     lose("r1", 0);
     table.find("i-1").leave();
     lose("r2", 10);
-    assertTrue(detector.observe(table, 250).isEmpty());
-    assertFalse(detector.isWaiting());
+    assertTrue(detector.checkRecords(table, 250).isEmpty());
+    assertFalse(detector.hasUnresolved());
   }
 
   @Test
   public void whatCannotBeToldIsForgotten() {
     lose("r1", 0);
-    assertTrue(detector.observe(table, EndDetector.FORGET_MILLIS).isEmpty());
-    assertTrue(detector.isWaiting());
-    assertTrue(detector.observe(table, EndDetector.FORGET_MILLIS + 1).isEmpty());
-    assertFalse(detector.isWaiting());
+    assertTrue(detector.checkRecords(table, CrashDetector.RETENTION_MILLIS).isEmpty());
+    assertTrue(detector.hasUnresolved());
+    assertTrue(detector.checkRecords(table, CrashDetector.RETENTION_MILLIS + 1).isEmpty());
+    assertFalse(detector.hasUnresolved());
   }
 
   /** Without the start an answer of the next life would have settled the end of the former. */
   @Test
   public void theNextLifeUnderTheSameIdShowsTheEnd() {
     table = BackendTable.EMPTY.with(List.of(backend("i-1@1", ADDRESS, false)));
-    detector.lost(lostAt("i-1@1", "r1"), table, 0);
+    detector.recordLoss(lostAt("i-1@1", "r1"), table, 0);
     BackendTable after = table.with(List.of(backend("i-1@2", ADDRESS, false)));
     after.find("i-1@2").answered(100);
-    assertEquals(detector.observe(after, 250).get(0).evidence(), EndEvidence.REPLACED);
+    assertEquals(detector.checkRecords(after, 250).get(0).evidence(), CrashEvidence.REPLACED);
   }
 
   @Test
   public void whatIsLostAtTheNextLifeIsNoPartOfTheFormerOnesEnd() {
     table = BackendTable.EMPTY.with(List.of(backend("i-1@1", ADDRESS, false)));
-    detector.lost(lostAt("i-1@1", "r1"), table, 0);
-    detector.unreachable("i-1@1", EndEvidence.REFUSES_CONNECTIONS, table, 20);
+    detector.recordLoss(lostAt("i-1@1", "r1"), table, 0);
+    detector.recordUnreachable("i-1@1", CrashEvidence.REFUSES_CONNECTIONS, table, 20);
     BackendTable after = table.with(List.of(backend("i-1@2", ADDRESS, false)));
-    assertNull(detector.lost(lostAt("i-1@2", "r2"), after, 400));
-    assertTrue(detector.isWaitingFor("i-1@2"));
+    assertNull(detector.recordLoss(lostAt("i-1@2", "r2"), after, 400));
+    assertTrue(detector.isUnresolved("i-1@2"));
   }
 
   @Test
   public void anotherInstanceThatAnswersShowsTheEndBeforeTheRecordDoes() {
     lose("r1", 0);
     table.find("i-1").end();
-    assertEquals(detector.observe(table, 250).get(0).evidence(), EndEvidence.REPLACED);
+    assertEquals(detector.checkRecords(table, 250).get(0).evidence(), CrashEvidence.REPLACED);
     assertEquals(lose("r2", 300).lost().get(0).request().id(), "r2");
   }
 
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/EndWatchTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/CrashWatchTest.java
@@ -22,17 +22,17 @@
  * was known by its record only, 2.4 s later, and by one node until then; each of three such nodes
  * was killed in that time, and a request was sent once more than is borne.
  */
-public final class EndWatchTest {
+public final class CrashWatchTest {
 
   private static final InetSocketAddress ADDRESS =
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 7001);
 
   private final VirtualTime time = new VirtualTime();
   private Queue<Reachability> answers;
-  private List<BackendEnd> ends;
+  private List<BackendCrash> ends;
   private List<String> closed;
   private BackendTable table;
-  private EndWatch watch;
+  private CrashWatch watch;
 
   @BeforeMethod
   public void create() {
@@ -43,18 +43,18 @@
         BackendTable.EMPTY.with(
             List.of(new Backend("i-1@1", "pool", ADDRESS, "zone", 4, false, Map.of())));
     watch =
-        new EndWatch(
+        new CrashWatch(
             new VirtualExecutor(time),
             address -> CompletableFuture.completedFuture(answers.remove()),
             () -> table,
-            new EndWatch.Listener() {
+            new CrashWatch.Listener() {
               @Override
-              public void onClosed(LostAttempt attempt) {
+              public void onConnectionClosed(LostAttempt attempt) {
                 closed.add(attempt.request().id());
               }
 
               @Override
-              public void onEnd(BackendEnd end) {
+              public void onCrash(BackendCrash end) {
                 ends.add(end);
               }
             },
@@ -63,7 +63,7 @@
 
   private void lose(Reachability... found) {
     answers.addAll(List.of(found));
-    watch.lost(lost("r1", LostAttempt.Loss.CLOSED));
+    watch.attemptLost(lost("r1", LostAttempt.Loss.CLOSED));
     time.runMillis(100);
   }
 
@@ -71,14 +71,14 @@
     return new LostAttempt("i-1@1", ADDRESS, Requests.of(id, "/a", "body"), "tenant", 0, loss, 0);
   }
 
-  private List<EndEvidence> evidence() {
-    return ends.stream().map(BackendEnd::evidence).toList();
+  private List<CrashEvidence> evidence() {
+    return ends.stream().map(BackendCrash::evidence).toList();
   }
 
   @Test
   public void connectionsThatAreClosedAtOnceTwiceShowTheEnd() {
     lose(Reachability.CLOSES, Reachability.CLOSES);
-    assertEquals(evidence(), List.of(EndEvidence.CLOSES_CONNECTIONS));
+    assertEquals(evidence(), List.of(CrashEvidence.CLOSES_CONNECTIONS));
   }
 
   @Test
@@ -90,7 +90,7 @@
   @Test
   public void aRefusedConnectionShowsTheEnd() {
     lose(Reachability.REFUSES);
-    assertEquals(evidence(), List.of(EndEvidence.REFUSES_CONNECTIONS));
+    assertEquals(evidence(), List.of(CrashEvidence.REFUSES_CONNECTIONS));
   }
 
   @Test
@@ -103,8 +103,8 @@
   @Test
   public void aClosedConnectionIsToldAtOnce() {
     answers.add(Reachability.ACCEPTS);
-    watch.lost(lost("r1", LostAttempt.Loss.CLOSED));
-    watch.lost(lost("r2", LostAttempt.Loss.CLOSED));
+    watch.attemptLost(lost("r1", LostAttempt.Loss.CLOSED));
+    watch.attemptLost(lost("r2", LostAttempt.Loss.CLOSED));
     time.runMillis(1);
     assertEquals(closed, List.of("r1", "r2"));
     time.runMillis(100);
@@ -114,7 +114,7 @@
   @Test
   public void silenceIsNotTaken() {
     answers.add(Reachability.ACCEPTS);
-    watch.lost(lost("r1", LostAttempt.Loss.SILENT));
+    watch.attemptLost(lost("r1", LostAttempt.Loss.SILENT));
     time.runMillis(100);
     assertEquals(closed, List.of());
   }
@@ -126,10 +126,10 @@
   @Test
   public void whatWasGivenUpAMomentBeforeOthersCloseIsLostWithThem() {
     answers.add(Reachability.REFUSES);
-    watch.lost(lost("left", LostAttempt.Loss.GIVEN_UP));
+    watch.attemptLost(lost("left", LostAttempt.Loss.GIVEN_UP));
     time.runMillis(500);
     assertEquals(closed, List.of(), "nothing speaks for an end yet");
-    watch.lost(lost("neighbour", LostAttempt.Loss.CLOSED));
+    watch.attemptLost(lost("neighbour", LostAttempt.Loss.CLOSED));
     time.runMillis(1);
     assertEquals(closed, List.of("neighbour", "left"));
     time.runMillis(100);
@@ -142,9 +142,9 @@
   @Test
   public void whatWasGivenUpSecondsBeforeALoadedNodeHandlesTheCloseIsLostWithIt() {
     answers.add(Reachability.REFUSES);
-    watch.lost(lost("left", LostAttempt.Loss.GIVEN_UP));
+    watch.attemptLost(lost("left", LostAttempt.Loss.GIVEN_UP));
     time.runMillis(2_400);
-    watch.lost(lost("neighbour", LostAttempt.Loss.CLOSED));
+    watch.attemptLost(lost("neighbour", LostAttempt.Loss.CLOSED));
     time.runMillis(1);
     assertEquals(closed, List.of("neighbour", "left"));
     time.runMillis(100);
@@ -153,10 +153,10 @@
   @Test
   public void whatItsBackEndHasOutlivedIsNotLostWithLaterOnes() {
     answers.add(Reachability.REFUSES);
-    watch.lost(lost("left", LostAttempt.Loss.GIVEN_UP));
+    watch.attemptLost(lost("left", LostAttempt.Loss.GIVEN_UP));
     time.runMillis(1_500);
     table.find("i-1@1").answered(time.monotonicMillis());
-    watch.lost(lost("neighbour", LostAttempt.Loss.CLOSED));
+    watch.attemptLost(lost("neighbour", LostAttempt.Loss.CLOSED));
     time.runMillis(100);
     assertEquals(closed, List.of("neighbour"));
     assertEquals(ends.get(0).lost().size(), 1);
@@ -165,9 +165,9 @@
   @Test
   public void whatWasGivenUpLongBeforeIsNot() {
     answers.add(Reachability.REFUSES);
-    watch.lost(lost("left", LostAttempt.Loss.GIVEN_UP));
+    watch.attemptLost(lost("left", LostAttempt.Loss.GIVEN_UP));
     time.runMillis(3_500);
-    watch.lost(lost("neighbour", LostAttempt.Loss.CLOSED));
+    watch.attemptLost(lost("neighbour", LostAttempt.Loss.CLOSED));
     time.runMillis(100);
     assertEquals(closed, List.of("neighbour"));
     assertEquals(ends.get(0).lost().size(), 1);
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/SimulationTroubles.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/FaultInjector.java
@@ -5,7 +5,7 @@
 import org.lockdale.coordination.simulation.VirtualTime;
 
 /** What goes wrong in a {@link QuarantineSimulation} beside its requests. */
-final class SimulationTroubles {
+final class FaultInjector {
 
   private static final long RESETS_EVERY_MICROS = 250_000;
 
@@ -14,7 +14,7 @@
   private final Random random;
   private final VirtualTime time;
 
-  SimulationTroubles(
+  FaultInjector(
       QuarantineSimulation simulation, SimulationPlan plan, Random random, VirtualTime time) {
     this.simulation = simulation;
     this.plan = plan;
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulation.java
@@ -509,7 +509,7 @@
       time.schedule(first, () -> repeat(guilty));
     }
     time.schedule(0, this::arrive);
-    new SimulationTroubles(this, plan, random, time).schedule();
+    new FaultInjector(this, plan, random, time).schedule();
     time.runMillis(RUN_MILLIS);
     return result();
   }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineTest.java
@@ -37,7 +37,7 @@
 
   private static final int BACKENDS = 4;
   private static final long SOON_MILLIS = 50;
-  private static final long RECORD_MILLIS = LifeEvidence.RECORD_MILLIS + 500;
+  private static final long RECORD_MILLIS = LifeEvidence.RECORD_EXPIRY_MILLIS + 500;
 
   private final List<Suspect> told = new ArrayList<>();
   private VirtualTime time;
@@ -173,7 +173,7 @@
   @Test
   public void anEndThatCameAfterTheLifeWasLastSeenStaysCounted() {
     lose(0, LostAttempt.Loss.CLOSED);
-    time.runMillis(LifeEvidence.RECORD_MILLIS - 2_000);
+    time.runMillis(LifeEvidence.RECORD_EXPIRY_MILLIS - 2_000);
     loseAtThree(LostAttempt.Loss.CLOSED);
     time.runMillis(4_000);
     assertTrue(isHeld(), "the records show only that the first loss was no end");
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectLedgerTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectLedgerTest.java
@@ -42,7 +42,7 @@
   }
 
   private Set<Long> held() {
-    return ledger.held().stream()
+    return ledger.quarantined().stream()
         .map(request -> request.fingerprint().low())
         .collect(Collectors.toSet());
   }
@@ -108,16 +108,16 @@
   public void theEndOfABackendThatLivesSpeaksAgainstNobody() {
     ended(1, true, "a", "b", "c");
     ended(2, true, "c");
-    assertEquals(ledger.alive("c", LATER_MILLIS).size(), 2);
+    assertEquals(ledger.recordAlive("c", LATER_MILLIS).size(), 2);
     assertEquals(held(), Set.of());
-    assertTrue(ledger.alive("c", LATER_MILLIS).isEmpty());
+    assertTrue(ledger.recordAlive("c", LATER_MILLIS).isEmpty());
   }
 
   /** A life that was seen before its end was learned may have ended since. */
   @Test
   public void anEndThatWasLearnedAfterTheLifeWasSeenStays() {
     ended(1, true, "a", "b", "c");
-    assertTrue(ledger.alive("c", 0).isEmpty());
+    assertTrue(ledger.recordAlive("c", 0).isEmpty());
     assertEquals(held(), Set.of(1L));
   }
 
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectRecorderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectRecorderTest.java
@@ -75,7 +75,7 @@
   @Test
   public void whoSawTheSecondEndRecordsItAtOnce() {
     learn(suspect(1, "a", "b"));
-    recorder.seenHere(new RequestFingerprint(1, 1));
+    recorder.markSeenLocally(new RequestFingerprint(1, 1));
     recorder.tick();
     assertEquals(rows.written, List.of(suspect(1, "a", "b")));
     tickFor(2_000);
@@ -86,7 +86,7 @@
   @Test
   public void aFirstEndIsRecordedAtOnceSoThatItOutlivesAllNodes() {
     learn(suspect(1, "a"));
-    recorder.seenHere(new RequestFingerprint(1, 1));
+    recorder.markSeenLocally(new RequestFingerprint(1, 1));
     recorder.tick();
     assertEquals(rows.written, List.of(suspect(1, "a")));
   }
@@ -95,7 +95,7 @@
   public void anEndOfAnAnswerThatHadRunForLongIsNotRecordedAlone() {
     Map<String, SuspectEnd> late = Map.of("a", new SuspectEnd(false, false));
     learn(new Suspect(new RequestFingerprint(1, 1), 1, late));
-    recorder.seenHere(new RequestFingerprint(1, 1));
+    recorder.markSeenLocally(new RequestFingerprint(1, 1));
     tickFor(2_000);
     assertTrue(rows.written.isEmpty());
   }
@@ -104,7 +104,7 @@
   public void aRowOfAFirstEndGoesAfterAWhileAndIsNotWrittenAgain() {
     coordinator = true;
     learn(suspect(1, "a"));
-    recorder.seenHere(new RequestFingerprint(1, 1));
+    recorder.markSeenLocally(new RequestFingerprint(1, 1));
     tickFor(29_000);
     assertTrue(rows.removed.isEmpty());
     tickFor(20_000);
@@ -116,7 +116,7 @@
   public void aFirstEndThatIsTakenBackCostsNoSecondWrite() {
     coordinator = true;
     learn(suspect(1, "a"));
-    recorder.seenHere(new RequestFingerprint(1, 1));
+    recorder.markSeenLocally(new RequestFingerprint(1, 1));
     recorder.tick();
     ledger.forgive(new RequestFingerprint(1, 1));
     tickFor(16_000);
@@ -128,12 +128,12 @@
   public void rowsOfFirstEndsAreFewAndLeaveRoomForSecondOnes() {
     for (int number = 0; number < 200; number++) {
       learn(suspect(number, "a"));
-      recorder.seenHere(new RequestFingerprint(number, number));
+      recorder.markSeenLocally(new RequestFingerprint(number, number));
     }
     tickFor(3_000);
     assertEquals(rows.written.size(), 32);
     learn(suspect(777, "a", "b"));
-    recorder.seenHere(new RequestFingerprint(777, 777));
+    recorder.markSeenLocally(new RequestFingerprint(777, 777));
     recorder.tick();
     assertEquals(rows.written.size(), 33, "one with two ends is recorded all the same");
   }
@@ -160,7 +160,7 @@
   @Test
   public void whatIsOnRecordIsNotWrittenAgain() {
     learn(suspect(1, "a", "b"));
-    recorder.observed(List.of(suspect(1, "a", "b", "c")));
+    recorder.update(List.of(suspect(1, "a", "b", "c")));
     tickFor(2_000);
     assertTrue(rows.written.isEmpty());
   }
@@ -168,8 +168,8 @@
   @Test
   public void aRowThatSaysLessIsWrittenAgain() {
     learn(suspect(1, "a", "b"));
-    recorder.seenHere(new RequestFingerprint(1, 1));
-    recorder.observed(List.of(suspect(1, "b", "c")));
+    recorder.markSeenLocally(new RequestFingerprint(1, 1));
+    recorder.update(List.of(suspect(1, "b", "c")));
     learn(suspect(1, "b", "c"));
     recorder.tick();
     assertEquals(rows.written, List.of(suspect(1, "a", "b", "c")));
@@ -179,7 +179,7 @@
   public void aStoreThatIsBackIsWrittenToSoon() {
     rows.away = true;
     learn(suspect(1, "a", "b"));
-    recorder.seenHere(new RequestFingerprint(1, 1));
+    recorder.markSeenLocally(new RequestFingerprint(1, 1));
     tickFor(5_000);
     rows.away = false;
     tickFor(600);
@@ -189,7 +189,7 @@
   @Test
   public void aClearedSuspectIsRecordedAsSuchAndItsRowRemovedLater() {
     coordinator = true;
-    recorder.observed(List.of(suspect(1, "a", "b")));
+    recorder.update(List.of(suspect(1, "a", "b")));
     learn(suspect(1, "a", "b"));
     ledger.forgive(new RequestFingerprint(1, 1));
     tickFor(600);
@@ -203,20 +203,20 @@
   @Test
   public void aRowThatTheLedgerHasForgottenDoesNotComeBackFromTheNextReading() {
     Suspect old = suspect(1, "a", "b");
-    assertEquals(recorder.observed(List.of(old)), List.of(old));
-    assertEquals(recorder.observed(List.of(old, suspect(2, "c", "d"))).size(), 1);
+    assertEquals(recorder.update(List.of(old)), List.of(old));
+    assertEquals(recorder.update(List.of(old, suspect(2, "c", "d"))).size(), 1);
   }
 
   @Test
   public void rowsOfRequestsThatAreNotHeldBackAreFew() {
     for (int number = 0; number < 200; number++) {
       learn(suspect(number, "a", "b"));
-      recorder.seenHere(new RequestFingerprint(number, number));
+      recorder.markSeenLocally(new RequestFingerprint(number, number));
     }
     tickFor(3_000);
     assertEquals(rows.written.size(), 32);
     learn(suspect(777, "a", "b", "c"));
-    recorder.seenHere(new RequestFingerprint(777, 777));
+    recorder.markSeenLocally(new RequestFingerprint(777, 777));
     recorder.tick();
     assertEquals(rows.written.size(), 33, "one that is held back is recorded all the same");
   }
