--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/AttemptJournal.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/AttemptJournal.java
@@ -16,38 +16,47 @@
 import org.lockdale.gateway.backend.TrackedBackend;
 
 /**
- * Keeps on record to which back ends suspected requests are being sent. A node that is killed
- * before it sees what became of an attempt leaves the row behind; once that life of the back end is
- * known to be over, the attempt counts as one that it ended under. Runs on one event loop.
+ * Records in the shared store to which backends suspect requests are being sent. If a node is
+ * killed before it learns the outcome of an attempt, its row remains; once that incarnation of the
+ * backend is known to be over, it counts as a crash under the request. Runs on one event loop.
  */
 final class AttemptJournal {
 
-  /** Attempts of this node that are kept on record at once; further ones are not. */
-  private static final int MAX_OPEN = 32;
+  /** Attempts of this node that are recorded at once; further ones are not recorded. */
+  private static final int MAX_IN_FLIGHT = 32;
 
-  /** An attempt that was lost may have run when its back end ended; that is known by then. */
-  private static final long DOUBT_MILLIS = 10_000;
+  /**
+   * How long the row of a lost attempt is kept: it may have been running when its backend crashed,
+   * and whether the backend crashed is known by then.
+   */
+  private static final long UNCERTAIN_RETENTION_MILLIS = 10_000;
 
-  /** A row whose node has gone is of no use any more then. */
-  private static final long KEEP_MILLIS = 30_000;
+  /** How long a row is kept whose node does not remove it. */
+  private static final long ORPHAN_RETENTION_MILLIS = 30_000;
 
-  /** A life without a record, and without a next one, is over if none is read for so long. */
-  private static final long ABSENT_MILLIS = 5_000;
+  /**
+   * An incarnation is over if neither a record of it nor one of a later incarnation has been read
+   * for this long.
+   */
+  private static final long MISSING_RECORD_MILLIS = 5_000;
 
   private final SuspectTable table;
   private final Executor eventLoop;
   private final Time time;
 
-  /** Number of attempts under way here. */
-  private final Map<SuspectAttempt, Integer> open = new HashMap<>();
+  /** Number of attempts in progress on this node. */
+  private final Map<SuspectAttempt, Integer> inFlight = new HashMap<>();
 
-  /** When rows of attempts that have been concluded here are to be removed. */
+  /** Monotonic times at which rows of attempts that this node has concluded are to be removed. */
   private final Map<SuspectAttempt, Long> removeAt = new HashMap<>();
 
-  /** When rows of other nodes, or of this one before it started, were first read. */
-  private final Map<SuspectAttempt, Long> readAt = new HashMap<>();
+  /**
+   * Monotonic times at which rows written by other nodes, or by this one before it restarted, were
+   * first read.
+   */
+  private final Map<SuspectAttempt, Long> firstReadAt = new HashMap<>();
 
-  private final Set<SuspectAttempt> counted = new HashSet<>();
+  private final Set<SuspectAttempt> reported = new HashSet<>();
 
   AttemptJournal(SuspectTable table, Executor eventLoop, Time time) {
     this.table = table;
@@ -55,90 +64,90 @@
     this.time = time;
   }
 
-  /** Notes that an attempt is about to be sent. */
+  /** Records that an attempt is about to be sent. */
   void begin(SuspectAttempt attempt) {
-    if (open.size() >= MAX_OPEN && !open.containsKey(attempt)) {
+    if (inFlight.size() >= MAX_IN_FLIGHT && !inFlight.containsKey(attempt)) {
       return;
     }
     removeAt.remove(attempt);
-    if (open.merge(attempt, 1, Integer::sum) == 1) {
+    if (inFlight.merge(attempt, 1, Integer::sum) == 1) {
       table.recordAttempt(attempt);
     }
   }
 
   /**
-   * Notes that an attempt has been concluded.
+   * Records that an attempt has been concluded.
    *
-   * @param doubtful whether its back end may have ended of it
+   * @param uncertain whether its backend may have crashed because of it
    */
-  void conclude(SuspectAttempt attempt, boolean doubtful) {
-    if (!open.containsKey(attempt)) {
+  void conclude(SuspectAttempt attempt, boolean uncertain) {
+    if (!inFlight.containsKey(attempt)) {
       return;
     }
-    if (open.merge(attempt, -1, Integer::sum) == 0) {
-      open.remove(attempt);
-      removeAt.put(attempt, time.monotonicMillis() + (doubtful ? DOUBT_MILLIS : 0));
+    if (inFlight.merge(attempt, -1, Integer::sum) == 0) {
+      inFlight.remove(attempt);
+      removeAt.put(attempt, time.monotonicMillis() + (uncertain ? UNCERTAIN_RETENTION_MILLIS : 0));
       removeDue();
     }
   }
 
-  /** Takes in all rows. */
+  /** Processes all rows of the store. */
   void update(Collection<SuspectAttempt> rows) {
     Set<SuspectAttempt> present = new HashSet<>(rows);
-    readAt.keySet().retainAll(present);
-    counted.retainAll(present);
+    firstReadAt.keySet().retainAll(present);
+    reported.retainAll(present);
     long now = time.monotonicMillis();
     for (SuspectAttempt row : rows) {
-      if (!open.containsKey(row) && !removeAt.containsKey(row)) {
-        readAt.putIfAbsent(row, now);
+      if (!inFlight.containsKey(row) && !removeAt.containsKey(row)) {
+        firstReadAt.putIfAbsent(row, now);
       }
     }
   }
 
   /**
-   * Returns attempts whose nodes have not concluded them and whose back ends have ended, each once;
-   * to be called from time to time.
+   * Returns attempts that their nodes have not concluded and whose backends are over, each attempt
+   * once; to be called periodically.
    *
-   * @param backends back ends on record
+   * @param backends backends that have a record
    */
   List<SuspectAttempt> takeCrashed(BackendTable backends) {
-    List<SuspectAttempt> ended = new ArrayList<>();
-    for (Map.Entry<SuspectAttempt, Long> each : readAt.entrySet()) {
-      boolean news = !counted.contains(each.getKey());
-      if (news && isOver(each.getKey().backend(), backends, each.getValue())) {
-        counted.add(each.getKey());
-        ended.add(each.getKey());
+    List<SuspectAttempt> crashed = new ArrayList<>();
+    for (Map.Entry<SuspectAttempt, Long> each : firstReadAt.entrySet()) {
+      boolean unreported = !reported.contains(each.getKey());
+      if (unreported && isOver(each.getKey().backend(), backends, each.getValue())) {
+        reported.add(each.getKey());
+        crashed.add(each.getKey());
       }
     }
-    return ended;
+    return crashed;
   }
 
-  private boolean isOver(String life, BackendTable backends, long readAtMillis) {
-    TrackedBackend tracked = backends.find(life);
+  private boolean isOver(String backendId, BackendTable backends, long firstReadAtMillis) {
+    TrackedBackend tracked = backends.find(backendId);
     if (tracked != null) {
       return tracked.isOver();
     }
-    Incarnation incarnation = Incarnation.parse(life);
+    Incarnation incarnation = Incarnation.parse(backendId);
     TrackedBackend present = backends.named(incarnation.server());
     if (present != null) {
       return incarnation.isBefore(present.backend().incarnation());
     }
-    boolean known = !backends.all().isEmpty();
-    return known && time.monotonicMillis() - readAtMillis >= ABSENT_MILLIS;
+    boolean anyRecordRead = !backends.all().isEmpty();
+    return anyRecordRead && time.monotonicMillis() - firstReadAtMillis >= MISSING_RECORD_MILLIS;
   }
 
   /**
-   * Removes rows that are due; to be called from time to time.
+   * Removes rows that are due; to be called periodically.
    *
-   * @param coordinator whether this node removes what other nodes have left behind
+   * @param coordinator whether this node removes rows that other nodes have left behind
    */
   void tick(boolean coordinator) {
     removeDue();
     if (coordinator) {
       long now = time.monotonicMillis();
-      readAt.forEach(
+      firstReadAt.forEach(
           (attempt, at) -> {
-            if (now - at >= KEEP_MILLIS) {
+            if (now - at >= ORPHAN_RETENTION_MILLIS) {
               removeAt.putIfAbsent(attempt, now);
             }
           });
@@ -155,14 +164,14 @@
   }
 
   private void remove(SuspectAttempt attempt) {
-    // Not asked for again while this call is under way.
+    // Prevents a second removal while this one is in progress.
     removeAt.put(attempt, Long.MAX_VALUE);
     CompletableFuture<@Nullable Void> removed = table.removeAttempt(attempt);
     removed.whenCompleteAsync(
         (done, failure) -> {
           if (failure == null) {
             removeAt.remove(attempt);
-            readAt.remove(attempt);
+            firstReadAt.remove(attempt);
           } else {
             removeAt.replace(attempt, time.monotonicMillis());
           }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/BackendCrash.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/BackendCrash.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * The end of a back end with the attempts of this node that it took along.
+ * The crash of a backend with the attempts of this node that were lost with it.
  *
  * @param backend id of the incarnation
- * @param evidence what shows its end
- * @param lost attempts that were under way
+ * @param evidence what shows that it crashed
+ * @param lost attempts that were in progress on it
  */
 record BackendCrash(String backend, CrashEvidence evidence, List<LostAttempt> lost) {
 
-  /** Copies the attempts. */
+  /** Copies the list of attempts. */
   BackendCrash {
     lost = List.copyOf(lost);
   }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashDetector.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashDetector.java
@@ -15,51 +15,60 @@
 import org.lockdale.gateway.backend.TrackedBackend;
 
 /**
- * Tells back ends that ended from connections that broke. An attempt that breaks off is kept until
- * it is known which it was: the address refuses connections, the record is gone or replaced, or the
- * back end answers an attempt that was sent later. One that left as planned has not ended in this
- * sense. A state machine without I/O; not safe for use by several threads.
+ * Distinguishes crashed backends from broken connections. A lost attempt is kept until it is known
+ * which of the two it was: the address refuses connections, the record is gone or replaced, or the
+ * backend answers an attempt that was sent later. A backend that terminated as planned has not
+ * crashed. A state machine without I/O; not safe for use by several threads.
  */
 final class CrashDetector {
 
   /**
-   * Records of back ends that ended lapse after three heartbeats, 3.6 s, and may be read a second
-   * later; twice that leaves room for slow stores.
+   * How long the fate of a backend is followed. Records of crashed backends expire after three
+   * heartbeats, 3.6 s, and may be read a second later; twice that time leaves room for slow stores.
    */
   static final long RETENTION_MILLIS = 10_000;
 
   /**
-   * An attempt that was given up before its back end's connections closed may have run at that
-   * moment: a loaded server begins it half a second after its caller has left, and a loaded node
-   * reads and handles a closed connection more than a second late. Records tell later still.
+   * An attempt that was given up at most this long before the connections of its backend closed may
+   * have been running at that moment: a loaded server begins an attempt half a second after its
+   * caller has left, and a loaded node reads and handles a closed connection more than a second
+   * late. Records show a crash later still.
    */
-  private static final long GIVEN_UP_MILLIS = 3_000;
+  private static final long GIVEN_UP_WINDOW_MILLIS = 3_000;
 
-  private static final long GIVEN_UP_BY_RECORD_MILLIS = RETENTION_MILLIS;
+  private static final long GIVEN_UP_WINDOW_BY_RECORD_MILLIS = RETENTION_MILLIS;
 
-  /** A back end that lived for so long after an attempt was given up has not ended of it. */
+  /**
+   * A backend that was alive this long after an attempt was given up did not crash because of it.
+   */
   private static final long OUTLIVED_MILLIS = 1_000;
 
-  /** Callers that leave in a burst must not fill the memory; the oldest are left out. */
+  /**
+   * Limits the memory that callers who leave in a burst can use; the oldest attempts are dropped.
+   */
   private static final int MAX_GIVEN_UP = 64;
 
-  /** Each keeps its request; further ones count at the life that was meant. */
-  private static final int MAX_UNPLACED = 64;
+  /**
+   * Limits the memory used, since each attempt keeps its request; further ones count against the
+   * incarnation that they were meant for.
+   */
+  private static final int MAX_UNASSIGNED = 64;
 
   private record GivenUp(LostAttempt attempt, long atMillis) {}
 
-  private static final class Open {
+  /** Attempts lost on a backend that may or may not have crashed. */
+  private static final class PendingLosses {
     private final InetSocketAddress address;
     private final List<LostAttempt> lost = new ArrayList<>();
     private final Deque<GivenUp> givenUp = new ArrayDeque<>();
-    private long latestMillis;
+    private long latestLossMillis;
 
-    Open(InetSocketAddress address) {
+    PendingLosses(InetSocketAddress address) {
       this.address = address;
     }
 
     void add(LostAttempt attempt, long nowMillis) {
-      latestMillis = nowMillis;
+      latestLossMillis = nowMillis;
       if (!attempt.isGivenUp()) {
         lost.add(attempt);
         return;
@@ -70,7 +79,7 @@
       }
     }
 
-    /** Returns and forgets the attempts given up since a moment, and forgets those before it. */
+    /** Removes all attempts that were given up, and returns those given up at or after a moment. */
     List<LostAttempt> takeGivenUp(long sinceMillis) {
       List<LostAttempt> taken = new ArrayList<>();
       for (GivenUp each : givenUp) {
@@ -89,26 +98,27 @@
     }
   }
 
-  private record Ended(CrashEvidence evidence, long atMillis) {}
+  private record DetectedCrash(CrashEvidence evidence, long atMillis) {}
 
-  private record Unplaced(LostAttempt attempt, long atMillis) {}
+  private record UnassignedAttempt(LostAttempt attempt, long atMillis) {}
 
-  private final Map<String, Open> open = new HashMap<>();
-  private final Map<String, Ended> ended = new HashMap<>();
+  private final Map<String, PendingLosses> pendingByBackend = new HashMap<>();
+  private final Map<String, DetectedCrash> detectedCrashes = new HashMap<>();
 
-  /** Attempts that ran at lives whose records have not been read yet. */
-  private final List<Unplaced> unplaced = new ArrayList<>();
+  /** Attempts that ran on incarnations whose records have not been read yet. */
+  private final List<UnassignedAttempt> unassigned = new ArrayList<>();
 
-  /** When the connections of back ends first closed, by their ids. */
+  /** Monotonic times at which connections of backends first closed, by backend id. */
   private final Map<String, Long> closedAt = new HashMap<>();
 
   /**
-   * Returns an attempt with the life that it ran at. A server may start again under its id before
-   * its new record is read, and take what was meant for the life before: over a connection that
-   * came up since, or with an answer that began after that life's connections had closed. Were its
-   * end taken for the same one, two ends would count as one.
+   * Returns an attempt with the incarnation that it ran on. A server may restart under its id
+   * before its new record is read, and run an attempt that was meant for its previous incarnation:
+   * over a connection that was established since, or with an answer that began after the
+   * connections of the previous incarnation had closed. If a crash of the new incarnation were
+   * attributed to the previous one, two crashes would count as one.
    *
-   * @param wallMillis time of day, as the starts of lives are told
+   * @param wallMillis Unix time in milliseconds, comparable to the start times of incarnations
    */
   LostAttempt assignToIncarnation(
       LostAttempt attempt, BackendTable backends, long nowMillis, long wallMillis) {
@@ -123,72 +133,76 @@
     boolean beganLater = closed != null && nowMillis - attempt.answerMillis() > closed;
     boolean answeredThere = beganLater && attempt.answerMillis() != 0;
     long connectedAtWallMillis = wallMillis - (nowMillis - attempt.connectedAtMillis());
-    return answeredThere || isStartedBy(present.backend(), connectedAtWallMillis)
-        ? lostAt(present.backend(), attempt)
+    return answeredThere || isStartedBefore(present.backend(), connectedAtWallMillis)
+        ? reassign(present.backend(), attempt)
         : attempt;
   }
 
-  private static boolean isStartedBy(Backend life, long wallMillis) {
-    return life.incarnation().startedAtMillis().orElse(Long.MAX_VALUE) < wallMillis;
+  private static boolean isStartedBefore(Backend next, long wallMillis) {
+    return next.incarnation().startedAtMillis().orElse(Long.MAX_VALUE) < wallMillis;
   }
 
-  private static LostAttempt lostAt(Backend life, LostAttempt attempt) {
-    return attempt.isGivenUp() ? attempt.givenUpOn(life.id()) : attempt.closedOn(life.id());
+  private static LostAttempt reassign(Backend next, LostAttempt attempt) {
+    return attempt.isGivenUp() ? attempt.givenUpOn(next.id()) : attempt.closedOn(next.id());
   }
 
   /**
-   * Takes in an attempt that broke off.
+   * Records a lost attempt.
    *
    * @param attempt the attempt
-   * @param backends back ends on record
+   * @param backends backends that have a record
    * @param nowMillis monotonic time
-   * @return the end of the back end where it is known already, else null
+   * @return the crash of the backend if it is already known, else null
    */
   @Nullable BackendCrash recordLoss(LostAttempt attempt, BackendTable backends, long nowMillis) {
     String backend = attempt.backend();
-    Ended known = ended.get(backend);
-    if (known != null && reachedUnknownLife(attempt, known, backends)) {
-      unplaced.add(new Unplaced(attempt, nowMillis));
+    DetectedCrash known = detectedCrashes.get(backend);
+    if (known != null && reachedUnknownIncarnation(attempt, known, backends)) {
+      unassigned.add(new UnassignedAttempt(attempt, nowMillis));
       return null;
     }
     if (known != null) {
       return new BackendCrash(backend, known.evidence(), List.of(attempt));
     }
     if (isReplaced(backend, backends)) {
-      ended.put(backend, new Ended(CrashEvidence.REPLACED, nowMillis));
+      detectedCrashes.put(backend, new DetectedCrash(CrashEvidence.REPLACED, nowMillis));
       return new BackendCrash(backend, CrashEvidence.REPLACED, List.of(attempt));
     }
     TrackedBackend tracked = backends.find(backend);
     if (tracked == null || tracked.isLeaving()) {
       return null;
     }
-    Open broken = open.computeIfAbsent(backend, id -> new Open(attempt.address()));
-    broken.add(attempt, nowMillis);
+    PendingLosses losses =
+        pendingByBackend.computeIfAbsent(backend, id -> new PendingLosses(attempt.address()));
+    losses.add(attempt, nowMillis);
     return null;
   }
 
   /**
-   * Returns the attempts at a back end that were given up a moment ago, as its connections close:
-   * they count as lost with those.
+   * Returns the attempts that were given up shortly before the connections of their backend closed,
+   * and counts them as lost with those connections.
    */
   List<LostAttempt> takeRecentlyGivenUp(String backend, BackendTable backends, long nowMillis) {
-    Open broken = open.get(backend);
-    if (broken == null) {
+    PendingLosses losses = pendingByBackend.get(backend);
+    if (losses == null) {
       return List.of();
     }
-    List<LostAttempt> taken = broken.takeGivenUp(doubtfulSince(backend, backends, nowMillis));
-    broken.lost.addAll(taken);
+    List<LostAttempt> taken = losses.takeGivenUp(givenUpWindowStart(backend, backends, nowMillis));
+    losses.lost.addAll(taken);
     return taken;
   }
 
-  /** Returns since when attempts were given up that may have run as a back end ended just now. */
-  private static long doubtfulSince(String backend, BackendTable backends, long nowMillis) {
+  /**
+   * Returns the monotonic time since which an attempt must have been given up to have possibly been
+   * running when the backend crashed, if it crashed just now.
+   */
+  private static long givenUpWindowStart(String backend, BackendTable backends, long nowMillis) {
     TrackedBackend tracked = backends.find(backend);
     long outlived = tracked == null ? 0 : tracked.aliveAtMillis() - OUTLIVED_MILLIS;
-    return Math.max(nowMillis - GIVEN_UP_MILLIS, outlived);
+    return Math.max(nowMillis - GIVEN_UP_WINDOW_MILLIS, outlived);
   }
 
-  /** Returns whether another life of the server is on record, or answers at its address. */
+  /** Returns whether another incarnation of the server has a record or answers at its address. */
   private static boolean isReplaced(String backend, BackendTable backends) {
     TrackedBackend tracked = backends.find(backend);
     return tracked == null
@@ -196,112 +210,123 @@
         : tracked.isOver();
   }
 
-  /** The connections of an ended life closed before its end was shown. */
-  private boolean reachedUnknownLife(LostAttempt attempt, Ended known, BackendTable backends) {
+  /**
+   * Returns whether an attempt connected after its backend had crashed, so that it reached an
+   * incarnation without a known record. The time at which the connections closed is used where it
+   * is known, since it precedes the detection of the crash.
+   */
+  private boolean reachedUnknownIncarnation(
+      LostAttempt attempt, DetectedCrash known, BackendTable backends) {
     long endedAt = closedAt.getOrDefault(attempt.backend(), known.atMillis());
     return attempt.connectedAtMillis() > endedAt
-        && !hasNextLife(attempt.backend(), backends)
-        && unplaced.size() < MAX_UNPLACED;
+        && !hasLaterIncarnation(attempt.backend(), backends)
+        && unassigned.size() < MAX_UNASSIGNED;
   }
 
   /**
-   * Returns the attempts that waited for the record of the life that they reached: it has been
-   * read, or none is there after a while.
+   * Removes and returns the attempts that can now be assigned to an incarnation: the record of the
+   * one that they reached has been read, or none has appeared for {@link #RETENTION_MILLIS}, so
+   * that they count against the one they were meant for.
    */
   List<LostAttempt> takeAssignable(BackendTable backends, long nowMillis) {
-    List<LostAttempt> placed = new ArrayList<>();
-    for (Iterator<Unplaced> each = unplaced.iterator(); each.hasNext(); ) {
-      Unplaced waiting = each.next();
+    List<LostAttempt> assignable = new ArrayList<>();
+    for (Iterator<UnassignedAttempt> each = unassigned.iterator(); each.hasNext(); ) {
+      UnassignedAttempt waiting = each.next();
       LostAttempt attempt = waiting.attempt();
-      if (hasNextLife(attempt.backend(), backends)) {
+      if (hasLaterIncarnation(attempt.backend(), backends)) {
         each.remove();
-        placed.add(attempt);
+        assignable.add(attempt);
       } else if (nowMillis - waiting.atMillis() > RETENTION_MILLIS) {
         each.remove();
-        placed.add(attempt.onIntendedIncarnation());
+        assignable.add(attempt.onIntendedIncarnation());
       }
     }
-    return placed;
+    return assignable;
   }
 
-  private static boolean hasNextLife(String backend, BackendTable backends) {
-    Incarnation meant = Incarnation.parse(backend);
-    TrackedBackend present = backends.named(meant.server());
-    return present != null && meant.isBefore(present.backend().incarnation());
+  private static boolean hasLaterIncarnation(String backend, BackendTable backends) {
+    Incarnation intended = Incarnation.parse(backend);
+    TrackedBackend present = backends.named(intended.server());
+    return present != null && intended.isBefore(present.backend().incarnation());
   }
 
-  /** Returns whether it is not known what became of any back end, or which one it was. */
+  /**
+   * Returns whether the fate of any backend, or the incarnation that any attempt ran on, is
+   * unknown.
+   */
   boolean hasUnresolved() {
-    return !open.isEmpty() || !unplaced.isEmpty();
+    return !pendingByBackend.isEmpty() || !unassigned.isEmpty();
   }
 
-  /** Returns whether the life at which an attempt ran is not on record yet. */
+  /** Returns whether the record of the incarnation that an attempt ran on has not been read yet. */
   boolean isUnassigned(LostAttempt attempt) {
-    return unplaced.stream().anyMatch(each -> each.attempt() == attempt);
+    return unassigned.stream().anyMatch(each -> each.attempt() == attempt);
   }
 
-  /** Returns whether it is not known what became of a back end. */
+  /** Returns whether it is still unknown if a backend with lost attempts has crashed. */
   boolean isUnresolved(String backend) {
-    return open.containsKey(backend);
+    return pendingByBackend.containsKey(backend);
   }
 
   /**
-   * Takes in what the address of a back end does with new connections.
+   * Records that nothing serves connections at the address of a backend.
    *
-   * @param evidence what shows that nothing listens there
+   * @param evidence what shows it
+   * @return the crash of the backend, or null if no lost attempt waits for it
    */
   @Nullable BackendCrash recordUnreachable(
       String backend, CrashEvidence evidence, BackendTable backends, long nowMillis) {
-    Open broken = open.remove(backend);
-    if (broken == null) {
+    PendingLosses losses = pendingByBackend.remove(backend);
+    if (losses == null) {
       return null;
     }
-    long since = doubtfulSince(backend, backends, nowMillis);
-    return end(backend, broken.allLost(since), evidence, nowMillis);
+    long since = givenUpWindowStart(backend, backends, nowMillis);
+    return confirmCrash(backend, losses.allLost(since), evidence, nowMillis);
   }
 
-  private BackendCrash end(
+  private BackendCrash confirmCrash(
       String backend, List<LostAttempt> lost, CrashEvidence evidence, long nowMillis) {
-    ended.put(backend, new Ended(evidence, nowMillis));
+    detectedCrashes.put(backend, new DetectedCrash(evidence, nowMillis));
     return new BackendCrash(backend, evidence, lost);
   }
 
   /**
-   * Compares with what the records say by now and what was heard since.
+   * Checks the unresolved losses against the current records and the answers received since.
    *
-   * @return back ends that have ended
+   * @return backends that have crashed
    */
   List<BackendCrash> checkRecords(BackendTable backends, long nowMillis) {
-    List<BackendCrash> ends = new ArrayList<>();
-    for (Iterator<Map.Entry<String, Open>> each = open.entrySet().iterator(); each.hasNext(); ) {
-      Map.Entry<String, Open> entry = each.next();
+    List<BackendCrash> crashes = new ArrayList<>();
+    for (Iterator<Map.Entry<String, PendingLosses>> each = pendingByBackend.entrySet().iterator();
+        each.hasNext(); ) {
+      Map.Entry<String, PendingLosses> entry = each.next();
       String backend = entry.getKey();
-      Open broken = entry.getValue();
+      PendingLosses losses = entry.getValue();
       TrackedBackend tracked = backends.find(backend);
       if (tracked == null || tracked.isOver()) {
         each.remove();
         boolean replaced =
             isReplaced(backend, backends)
                 || backends.all().stream()
-                    .anyMatch(other -> other.backend().address().equals(broken.address));
+                    .anyMatch(other -> other.backend().address().equals(losses.address));
         CrashEvidence evidence = replaced ? CrashEvidence.REPLACED : CrashEvidence.RECORD_GONE;
-        List<LostAttempt> lost = broken.allLost(nowMillis - GIVEN_UP_BY_RECORD_MILLIS);
+        List<LostAttempt> lost = losses.allLost(nowMillis - GIVEN_UP_WINDOW_BY_RECORD_MILLIS);
         if (!lost.isEmpty()) {
-          ends.add(end(backend, lost, evidence, nowMillis));
+          crashes.add(confirmCrash(backend, lost, evidence, nowMillis));
         }
-      } else if (isSettled(tracked, broken, nowMillis)) {
+      } else if (isResolved(tracked, losses, nowMillis)) {
         each.remove();
       }
     }
-    ended.values().removeIf(end -> nowMillis - end.atMillis() > RETENTION_MILLIS);
+    detectedCrashes.values().removeIf(crash -> nowMillis - crash.atMillis() > RETENTION_MILLIS);
     closedAt.values().removeIf(at -> nowMillis - at > RETENTION_MILLIS);
-    return ends;
+    return crashes;
   }
 
-  /** It lives, leaves as planned, or nothing will be known any more. */
-  private static boolean isSettled(TrackedBackend tracked, Open broken, long nowMillis) {
-    return tracked.aliveAtMillis() > broken.latestMillis
+  /** Returns whether the backend is alive, is draining, or has been followed for long enough. */
+  private static boolean isResolved(TrackedBackend tracked, PendingLosses losses, long nowMillis) {
+    return tracked.aliveAtMillis() > losses.latestLossMillis
         || tracked.isLeaving()
-        || nowMillis - broken.latestMillis > RETENTION_MILLIS;
+        || nowMillis - losses.latestLossMillis > RETENTION_MILLIS;
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashEvidence.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashEvidence.java
@@ -1,17 +1,19 @@
 package org.lockdale.gateway.quarantine;
 
-/** What shows that a back end has ended, as opposed to a connection to it. */
+/** What shows that a backend has crashed, rather than that a connection to it broke. */
 enum CrashEvidence {
-  /** Its address refuses connections; seen within milliseconds. */
+  /** Its address refuses connections; detected within milliseconds. */
   REFUSES_CONNECTIONS,
   /**
-   * Its address takes connections and closes them at once, twice in a row; seen within 0.6 s. A
-   * server with all connections it takes does the same, so an answer to a later attempt takes the
-   * end back.
+   * Its address accepts connections and closes them at once, twice in a row; detected within 0.6 s.
+   * A server that has reached its connection limit does the same, so an answer to a later attempt
+   * retracts the crash.
    */
   CLOSES_CONNECTIONS,
-  /** Another incarnation is on record at its address; seen seconds later. */
+  /** A record of another incarnation exists for its address; detected seconds later. */
   REPLACED,
-  /** Its record is gone though it never said that it was leaving; seen seconds later. */
+  /**
+   * Its record is gone although it never announced that it was draining; detected seconds later.
+   */
   RECORD_GONE
 }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashWatch.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashWatch.java
@@ -15,28 +15,31 @@
 import org.tinylog.Logger;
 
 /**
- * Finds out whether back ends have ended when attempts at them break off: asks their address, and
- * looks at their records while it is not known. Runs on one event loop; attempts may be told from
- * any thread.
+ * Determines whether backends have crashed when attempts on them are lost: probes their addresses,
+ * and checks their records until it is known. Runs on one event loop; lost attempts may be reported
+ * from any thread.
  */
 public final class CrashWatch {
 
   /**
-   * An ended process has let go of its port by then, and the attempts that it took along have all
-   * been told; in the recorded incident they came within 4 ms.
+   * A crashed process has released its port by then, and all attempts lost with it have been
+   * reported; in a recorded incident these reports came within 4 ms.
    */
   private static final long PROBE_DELAY_MILLIS = 20;
 
-  private static final long LOOK_MILLIS = 250;
+  private static final long CHECK_DELAY_MILLIS = 250;
 
-  /** Told on the event loop of what attempts that break off show. */
+  /** Receives, on the event loop, what lost attempts reveal. */
   interface Listener {
 
-    /** A connection was closed under an attempt; whether its back end ended is not known yet. */
+    /**
+     * Called when a connection was closed under an attempt; whether its backend crashed is not
+     * known yet.
+     */
     void onConnectionClosed(LostAttempt attempt);
 
-    /** A back end has ended. */
-    void onCrash(BackendCrash end);
+    /** Called when a backend has crashed. */
+    void onCrash(BackendCrash crash);
   }
 
   private final ScheduledExecutorService eventLoop;
@@ -46,15 +49,15 @@
   private final Time time;
   private final CrashDetector detector = new CrashDetector();
   private final Set<String> probing = new HashSet<>();
-  private boolean looking;
+  private boolean checkScheduled;
 
   /**
    * Creates a watch.
    *
    * @param eventLoop runs the watch
-   * @param prober tells what an address does with a new connection
-   * @param backends back ends on record
-   * @param listener told of what is found
+   * @param prober determines how an address responds to a new connection
+   * @param backends backends that have a record
+   * @param listener receives the findings
    * @param time clock
    */
   CrashWatch(
@@ -70,7 +73,7 @@
     this.time = time;
   }
 
-  /** Takes in an attempt that broke off. */
+  /** Reports a lost attempt; from any thread. */
   void attemptLost(LostAttempt attempt) {
     eventLoop.execute(() -> accept(attempt));
   }
@@ -82,22 +85,22 @@
     String backend = attempt.backend();
     BackendCrash known = detector.recordLoss(attempt, backends.get(), now);
     if (known != null) {
-      tell(known);
+      report(known);
     } else if (detector.isUnassigned(attempt)) {
-      look();
+      scheduleCheck();
     } else if (!detector.isUnresolved(backend)) {
       if (!attempt.isGivenUp()) {
         Logger.info("event=backend-left backend={} request={}", backend, attempt.request().id());
       }
     } else if (attempt.isGivenUp()) {
-      // Nothing speaks for an end yet, so its address isn't asked.
-      look();
+      // Nothing indicates a crash yet, so the address is not probed.
+      scheduleCheck();
     } else {
-      broken(attempt);
+      handleBrokenConnection(attempt);
     }
   }
 
-  private void broken(LostAttempt attempt) {
+  private void handleBrokenConnection(LostAttempt attempt) {
     if (attempt.isClosed()) {
       listener.onConnectionClosed(attempt);
       detector
@@ -117,60 +120,62 @@
   private void probe(LostAttempt attempt, boolean closedBefore) {
     prober
         .apply(attempt.address())
-        .thenAcceptAsync(reachability -> probed(attempt, reachability, closedBefore), eventLoop);
+        .thenAcceptAsync(
+            reachability -> handleProbeResult(attempt, reachability, closedBefore), eventLoop);
   }
 
-  private void probed(LostAttempt attempt, Reachability reachability, boolean closedBefore) {
+  private void handleProbeResult(
+      LostAttempt attempt, Reachability reachability, boolean closedBefore) {
     String backend = attempt.backend();
     long now = time.monotonicMillis();
-    boolean again = reachability == Reachability.CLOSES && !closedBefore;
-    if (again) {
+    boolean probeAgain = reachability == Reachability.CLOSES && !closedBefore;
+    if (probeAgain) {
       probeAfterDelay(attempt, true);
       return;
     }
     probing.remove(backend);
     if (reachability == Reachability.REFUSES) {
-      tell(
+      report(
           detector.recordUnreachable(
               backend, CrashEvidence.REFUSES_CONNECTIONS, backends.get(), now));
       return;
     }
     if (reachability == Reachability.CLOSES) {
-      tell(
+      report(
           detector.recordUnreachable(
               backend, CrashEvidence.CLOSES_CONNECTIONS, backends.get(), now));
       return;
     }
-    // A process that listens may be the next one already; its record will tell.
+    // The process that listens may already be the next incarnation; its record will show it.
     Logger.info("event=connection-lost backend={} address={}", backend, reachability);
-    look();
+    scheduleCheck();
   }
 
-  private void look() {
-    if (!looking) {
-      looking = true;
-      eventLoop.schedule(this::looked, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+  private void scheduleCheck() {
+    if (!checkScheduled) {
+      checkScheduled = true;
+      eventLoop.schedule(this::runCheck, CHECK_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void looked() {
-    looking = false;
-    detector.checkRecords(backends.get(), time.monotonicMillis()).forEach(this::tell);
+  private void runCheck() {
+    checkScheduled = false;
+    detector.checkRecords(backends.get(), time.monotonicMillis()).forEach(this::report);
     detector.takeAssignable(backends.get(), time.monotonicMillis()).forEach(this::accept);
     if (detector.hasUnresolved()) {
-      look();
+      scheduleCheck();
     }
   }
 
-  private void tell(@Nullable BackendCrash end) {
-    if (end == null) {
+  private void report(@Nullable BackendCrash crash) {
+    if (crash == null) {
       return;
     }
     Logger.info(
         "event=backend-ended backend={} evidence={} requests={}",
-        end.backend(),
-        end.evidence(),
-        end.lost().size());
-    listener.onCrash(end);
+        crash.backend(),
+        crash.evidence(),
+        crash.lost().size());
+    listener.onCrash(crash);
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/LostAttempt.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/LostAttempt.java
@@ -4,16 +4,17 @@
 import org.lockdale.gateway.caller.CallerRequest;
 
 /**
- * An attempt that ended without the back end's word: its connection closed or fell silent, or this
- * node gave it up.
+ * An attempt that ended without an indication from the backend: its connection closed or fell
+ * silent, or this node gave it up.
  *
- * @param backend id of the back end's incarnation
- * @param address where it was reached
+ * @param backend id of the backend's incarnation
+ * @param address address of the backend
  * @param request the request
  * @param caller name of the tenant, or the key where there is none
- * @param answerMillis how long its answer had been coming, in milliseconds; 0 before its begin
+ * @param answerMillis time in milliseconds for which its answer had been arriving; 0 if it had not
+ *     begun
  * @param loss how it ended
- * @param connectedAtMillis monotonic time at which the connection came up that carried it
+ * @param connectedAtMillis monotonic time at which the connection that carried it was established
  */
 public record LostAttempt(
     String backend,
@@ -28,41 +29,48 @@
 
   /** How an attempt ended. */
   public enum Loss {
-    /** The connection was closed from the back end's side, as by a process that ends. */
+    /** The connection was closed by the backend's side, as by a process that terminates. */
     CLOSED,
-    /** Nothing came for too long, as from a back end that is overloaded. */
+    /** Nothing arrived for too long, as from an overloaded backend. */
     SILENT,
     /**
-     * This node gave it up, since its caller left or its time ran out, so nobody saw what became of
-     * its connection.
+     * This node gave it up because its caller left or its time ran out, so nothing observed what
+     * became of its connection.
      */
     GIVEN_UP
   }
 
   /**
-   * Returns the attempt as one that ran at another life of its server. Nobody sees what becomes of
-   * it there, since this node cut it; so it counts as closed until that life is heard.
+   * Returns the attempt as one that ran on another incarnation of its server. Its outcome there
+   * can't be observed, since this node closed the connection; so it counts as closed until that
+   * incarnation is known to be alive.
    */
-  LostAttempt closedOn(String life) {
-    return at(life, Loss.CLOSED);
+  LostAttempt closedOn(String incarnation) {
+    return on(incarnation, Loss.CLOSED);
   }
 
-  /** Returns the attempt as one that this node gave up at another life of its server. */
-  LostAttempt givenUpOn(String life) {
-    return at(life, Loss.GIVEN_UP);
+  /**
+   * Returns the attempt as one that ran on another incarnation of its server and that this node
+   * gave up.
+   */
+  LostAttempt givenUpOn(String incarnation) {
+    return on(incarnation, Loss.GIVEN_UP);
   }
 
-  private LostAttempt at(String life, Loss lossThere) {
+  private LostAttempt on(String incarnation, Loss newLoss) {
     return new LostAttempt(
-        life, address, request, caller, answerMillis, lossThere, connectedAtMillis);
+        incarnation, address, request, caller, answerMillis, newLoss, connectedAtMillis);
   }
 
-  /** Returns the attempt as one that reached the life that was meant, whenever it connected. */
+  /**
+   * Returns the attempt as one that reached the incarnation that it was meant for, whenever it
+   * connected.
+   */
   LostAttempt onIntendedIncarnation() {
     return new LostAttempt(backend, address, request, caller, answerMillis, loss, NEVER);
   }
 
-  /** Returns whether its connection was closed from the back end's side. */
+  /** Returns whether its connection was closed by the backend's side. */
   boolean isClosed() {
     return loss == Loss.CLOSED;
   }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/Quarantine.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/Quarantine.java
@@ -24,27 +24,30 @@
 import org.tinylog.Logger;
 
 /**
- * Holds requests back under which back ends end. Each node sees the ends of its own requests, tells
- * all others, and keeps what matters in the shared table for nodes that start or were cut off; all
- * decide by the same rule. The request path reads a section of the blackboard; the rest runs on one
- * event loop.
+ * Quarantines requests under which backends crash. Each node observes the crashes under its own
+ * requests, notifies all other nodes, and keeps the significant ones in the shared store for nodes
+ * that start or were isolated; all nodes decide by the same rule. The request path reads a section
+ * of the blackboard; the rest runs on one event loop.
  */
 public final class Quarantine {
 
   private static final long TICK_MILLIS = 250;
 
-  /** An end brings a message from each node that had requests there; they are weighed together. */
+  /**
+   * Each node that had requests on a crashed backend sends a message; waiting this long lets them
+   * be evaluated together.
+   */
   private static final long GATHER_MILLIS = 10;
 
   /**
-   * Where it finds what it needs.
+   * Dependencies of a quarantine.
    *
    * @param eventLoop runs it
-   * @param prober tells what an address does with a new connection
-   * @param backends back ends on record, and when that was last known to be current
+   * @param prober determines how an address responds to a new connection
+   * @param backends backends that have a record, and when that was last known to be current
    * @param table rows of the suspects that all nodes have to know
    * @param sender sends suspects to all other nodes
-   * @param coordinator whether this node is the relay that acts for all
+   * @param coordinator whether this node is the relay node, which is elected to act for all nodes
    * @param time clock
    */
   public record Context(
@@ -63,18 +66,18 @@
   private final SuspectRecorder recorder;
   private final SuspectSender sender;
   private final AttemptJournal journal;
-  private final LifeEvidence lives;
+  private final LifeEvidence livenessEvidence;
 
-  private Collection<HeldRequest> heldBefore = List.of();
-  private boolean known;
+  private Collection<HeldRequest> previouslyQuarantined = List.of();
+  private boolean tableRead;
   private boolean publishing;
 
   /**
-   * Creates it; {@link #start} starts it.
+   * Creates a quarantine; {@link #start} starts it.
    *
-   * @param context where it finds what it needs
-   * @param section where it tells the request path what is held back
-   * @param holdMillis time after the last end for which a request is held back
+   * @param context its dependencies
+   * @param section where it publishes to the request path which requests are quarantined
+   * @param holdMillis time in milliseconds after the last crash for which a request is quarantined
    */
   public Quarantine(Context context, Section<Suspects> section, long holdMillis) {
     this.context = context;
@@ -86,30 +89,30 @@
     this.recorder =
         new SuspectRecorder(
             ledger, context.table(), context.coordinator(), context.eventLoop(), context.time());
-    this.lives = new LifeEvidence(context.backends());
+    this.livenessEvidence = new LifeEvidence(context.backends());
     this.journal = new AttemptJournal(context.table(), context.eventLoop(), context.time());
     this.sender = new SuspectSender(context.eventLoop(), ledger, context.sender());
   }
 
-  /** Starts its upkeep. */
+  /** Starts its periodic maintenance. */
   public void start() {
     context
         .eventLoop()
-        .scheduleAtFixedRate(this::upkeep, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        .scheduleAtFixedRate(this::maintain, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Returns what takes in the answers of back ends, which show that they live. */
+  /** Returns the evidence that backends are alive, to which their answers are reported. */
   public LifeEvidence lives() {
-    return lives;
+    return livenessEvidence;
   }
 
   /**
-   * Takes in that a request is about to be sent; from any thread.
+   * Reports that a request is about to be sent; from any thread.
    *
    * @param request the request
    * @param caller name of the tenant, or the key where there is none
-   * @param backend id of the back end's incarnation
-   * @return what {@link #concluded} is to be told of; empty where nothing speaks against it
+   * @param backend id of the backend's incarnation
+   * @return the attempt to report to {@link #concluded}; empty if the request is not a suspect
    */
   public Optional<SuspectAttempt> sending(CallerRequest request, String caller, String backend) {
     Optional<SuspectAttempt> attempt = section.value().attempt(request, caller, backend);
@@ -125,22 +128,22 @@
   }
 
   /**
-   * Takes in that an attempt has been concluded; from any thread.
+   * Reports that an attempt has been concluded; from any thread.
    *
    * @param attempt the attempt
-   * @param doubtful whether it was lost, so that its back end may have ended of it
+   * @param uncertain whether it was lost, so that its backend may have crashed because of it
    */
-  public void concluded(SuspectAttempt attempt, boolean doubtful) {
-    context.eventLoop().execute(() -> journal.conclude(attempt, doubtful));
+  public void concluded(SuspectAttempt attempt, boolean uncertain) {
+    context.eventLoop().execute(() -> journal.conclude(attempt, uncertain));
   }
 
-  /** Takes in an attempt that broke off; from any thread. */
+  /** Reports a lost attempt; from any thread. */
   public void lost(LostAttempt attempt) {
     watch.attemptLost(attempt);
   }
 
   /**
-   * Returns why a request is held back, or empty where it may be sent; from any thread.
+   * Returns why a request is quarantined, or empty if it may be sent; from any thread.
    *
    * @param request the request
    * @param caller name of the tenant, or the key where there is none
@@ -150,7 +153,8 @@
   }
 
   /**
-   * Takes in that a back end has answered a request well, which it does not end; from any thread.
+   * Reports that a backend has answered a request successfully, which shows that the request
+   * doesn't crash it; from any thread.
    *
    * @param request the request
    * @param caller name of the tenant, or the key where there is none
@@ -163,36 +167,36 @@
             fingerprint -> context.eventLoop().execute(() -> forgive(fingerprint, "answered")));
   }
 
-  /** Returns the requests that are held back; from any thread. */
+  /** Returns the requests that are quarantined; from any thread. */
   Collection<HeldRequest> held() {
     return section.value().quarantined();
   }
 
   /**
-   * Releases a request; on the event loop.
+   * Releases a request from quarantine; to be called on the event loop.
    *
-   * @return whether anything spoke against it
+   * @return whether any crash counted against it
    */
   boolean release(RequestFingerprint fingerprint) {
     return forgive(fingerprint, "released");
   }
 
   private boolean forgive(RequestFingerprint fingerprint, String reason) {
-    boolean watched = ledger.find(fingerprint).filter(Quarantine::isWatched).isPresent();
+    boolean significant = ledger.find(fingerprint).filter(Quarantine::isSignificant).isPresent();
     Optional<Suspect> forgiven = ledger.forgive(fingerprint);
     if (forgiven.isEmpty()) {
       return false;
     }
-    if (watched) {
-      // Nodes that don't know it yet ask for it, in effect, when they tell of a second end.
+    if (significant) {
+      // If it was not significant, other nodes receive this state when they report a second crash.
       Logger.info("event=suspect-cleared fingerprint={} reason={}", fingerprint, reason);
-      changedHere(forgiven.get());
+      propagate(forgiven.get());
       publishSoon();
     }
     return true;
   }
 
-  private void changedHere(Suspect suspect) {
+  private void propagate(Suspect suspect) {
     recorder.markSeenLocally(suspect.fingerprint());
     sender.broadcast(suspect.fingerprint());
   }
@@ -205,24 +209,25 @@
     return new CrashWatch.Listener() {
       @Override
       public void onConnectionClosed(LostAttempt attempt) {
-        suspect("connection-closed-under", attempt);
+        countCrash("connection-closed-under", attempt);
         publishSoon();
       }
 
       @Override
-      public void onCrash(BackendCrash end) {
-        end.lost().forEach(lost -> suspect("backend-ended-under", lost));
+      public void onCrash(BackendCrash crash) {
+        crash.lost().forEach(lost -> countCrash("backend-ended-under", lost));
         publishSoon();
       }
     };
   }
 
   /**
-   * A closed connection counts as the end of its back end until it is heard again. Whether it ended
-   * may be known seconds later only, and to nobody where each node that saw a connection close is
-   * killed before: three ends were forgotten so, and a request was sent four times more.
+   * Counts a crash against a request. A closed connection counts as a crash of its backend until
+   * the backend is known to be alive. Whether it crashed may be known only seconds later, and to no
+   * node if each one that saw a connection close is killed before: three crashes were lost that
+   * way, and a request was sent four more times.
    */
-  private void suspect(String event, LostAttempt lost) {
+  private void countCrash(String event, LostAttempt lost) {
     RequestFingerprint fingerprint = RequestFingerprint.of(lost.request(), lost.caller());
     Logger.info(
         "event={} backend={} request={} fingerprint={} answer-ms={}",
@@ -233,10 +238,10 @@
         lost.answerMillis());
     boolean early = lost.answerMillis() <= SuspectLedger.EARLY_MILLIS;
     int sketch = RequestFingerprint.sketchOf(lost.request(), lost.caller());
-    Map<String, SuspectEnd> ends = Map.of(lost.backend(), new SuspectEnd(early, false));
-    Suspect suspect = new Suspect(fingerprint, sketch, ends);
+    Map<String, SuspectEnd> crashes = Map.of(lost.backend(), new SuspectEnd(early, false));
+    Suspect suspect = new Suspect(fingerprint, sketch, crashes);
     if (ledger.recordLoss(suspect, context.time().monotonicMillis())) {
-      changedHere(suspect);
+      propagate(suspect);
     }
   }
 
@@ -244,29 +249,32 @@
     return ledger.merge(suspect, context.time().monotonicMillis());
   }
 
-  /** Takes in what another node tells; on the event loop. */
+  /** Processes suspects received from another node; to be called on the event loop. */
   public void told(List<Suspect> suspects) {
-    boolean news = false;
+    boolean changed = false;
     for (Suspect suspect : suspects) {
-      news |= merge(suspect);
+      changed |= merge(suspect);
       Optional<Suspect> known = ledger.find(suspect.fingerprint());
-      // Who knows more tells it where it matters, so that no node decides without it.
-      if (known.isPresent() && !suspect.includes(known.get()) && isWatched(suspect)) {
-        changedHere(known.get());
+      // A node that knows more of a significant suspect broadcasts it, so that no node decides
+      // without it.
+      if (known.isPresent() && !suspect.includes(known.get()) && isSignificant(suspect)) {
+        propagate(known.get());
       }
     }
-    if (news) {
+    if (changed) {
       publishSoon();
     }
   }
 
-  private static boolean isWatched(Suspect suspect) {
-    return suspect.weight() >= SuspectLedger.WATCHED_WEIGHT;
+  private static boolean isSignificant(Suspect suspect) {
+    return suspect.weight() >= SuspectLedger.SIGNIFICANT_WEIGHT;
   }
 
   /**
-   * Returns what a node that has just started should know, at most so many of the requests that
-   * most speaks against; on the event loop.
+   * Returns the suspects with the greatest weights, for a node that has just started; to be called
+   * on the event loop.
+   *
+   * @param most greatest number of suspects to return
    */
   public List<Suspect> heaviest(int most) {
     return ledger.all().stream()
@@ -277,52 +285,55 @@
   }
 
   /**
-   * Takes in all that is on record; on the event loop.
+   * Processes all rows of the shared store; to be called on the event loop.
    *
    * @param rows suspects
    * @param attempts attempts of suspects
    */
   public void observed(Collection<Suspect> rows, Collection<SuspectAttempt> attempts) {
     journal.update(attempts);
-    boolean news = countUnconcluded();
+    boolean changed = countUnconcluded();
     for (Suspect row : recorder.update(rows)) {
-      news |= merge(row);
+      changed |= merge(row);
     }
-    if (news || !known) {
-      // The first reading also tells the request path that it may begin.
-      known = true;
+    if (changed || !tableRead) {
+      // The first reading also signals to the request path that it may start.
+      tableRead = true;
       publish();
     } else {
       recorder.tick();
     }
   }
 
-  /** Counts what nodes that have ended had sent to back ends that have ended since. */
+  /**
+   * Counts the crashes of backends under attempts whose nodes terminated before they concluded
+   * them.
+   */
   private boolean countUnconcluded() {
-    boolean news = false;
+    boolean changed = false;
     for (SuspectAttempt attempt : journal.takeCrashed(backends())) {
       Logger.info(
           "event=backend-ended-under backend={} fingerprint={} evidence=unconcluded",
           attempt.backend(),
           attempt.fingerprint());
-      Map<String, SuspectEnd> ends = Map.of(attempt.backend(), new SuspectEnd(true, false));
-      Suspect suspect = new Suspect(attempt.fingerprint(), attempt.sketch(), ends);
+      Map<String, SuspectEnd> crashes = Map.of(attempt.backend(), new SuspectEnd(true, false));
+      Suspect suspect = new Suspect(attempt.fingerprint(), attempt.sketch(), crashes);
       if (merge(suspect)) {
-        changedHere(suspect);
-        news = true;
+        propagate(suspect);
+        changed = true;
       }
     }
-    return news;
+    return changed;
   }
 
-  private void upkeep() {
+  private void maintain() {
     long now = context.time().monotonicMillis();
-    boolean changed = doubtEnds(now) | countUnconcluded();
+    boolean changed = retractCrashes(now) | countUnconcluded();
     journal.tick(context.coordinator().getAsBoolean());
     for (Suspect released : ledger.expire(now)) {
       Logger.info(
           "event=suspect-cleared fingerprint={} reason=held-long-enough", released.fingerprint());
-      changedHere(released);
+      propagate(released);
       changed = true;
     }
     if (changed) {
@@ -332,23 +343,27 @@
     }
   }
 
-  /** Takes the ends back of those that have been shown to live since these were learned. */
-  private boolean doubtEnds(long nowMillis) {
-    lives.observe();
+  /**
+   * Retracts the crashes of backends that are shown to have been alive after these crashes were
+   * learned.
+   */
+  private boolean retractCrashes(long nowMillis) {
+    livenessEvidence.observe();
     boolean changed = false;
     BackendTable table = backends();
     for (String backend : ledger.crashedBackends()) {
       TrackedBackend tracked = table.find(backend);
-      long lived = tracked == null ? Long.MIN_VALUE : lives.lastAliveAtMillis(tracked);
-      List<Suspect> forgiven = ledger.recordAlive(backend, lived);
+      long aliveAtMillis =
+          tracked == null ? Long.MIN_VALUE : livenessEvidence.lastAliveAtMillis(tracked);
+      List<Suspect> forgiven = ledger.recordAlive(backend, aliveAtMillis);
       if (!forgiven.isEmpty()) {
-        boolean answered = tracked != null && tracked.aliveAtMillis() == lived;
+        boolean answered = tracked != null && tracked.aliveAtMillis() == aliveAtMillis;
         Logger.info(
             "event=backend-lives backend={} evidence={} seen-ms-ago={}",
             backend,
             answered ? "answered" : "record-stands",
-            nowMillis - lived);
-        forgiven.forEach(this::changedHere);
+            nowMillis - aliveAtMillis);
+        forgiven.forEach(this::propagate);
         changed = true;
       }
     }
@@ -364,10 +379,11 @@
 
   private void publish() {
     publishing = false;
-    List<HeldRequest> held = ledger.quarantined();
-    for (HeldRequest request : held) {
+    List<HeldRequest> quarantined = ledger.quarantined();
+    for (HeldRequest request : quarantined) {
       boolean before =
-          heldBefore.stream().anyMatch(other -> other.fingerprint().equals(request.fingerprint()));
+          previouslyQuarantined.stream()
+              .anyMatch(other -> other.fingerprint().equals(request.fingerprint()));
       if (!before) {
         Logger.warn(
             "event=request-quarantined fingerprint={} backends={}",
@@ -375,8 +391,8 @@
             request.ends());
       }
     }
-    heldBefore = held;
-    section.publish(new Suspects(ledger.all(), held), context.time().monotonicMillis());
+    previouslyQuarantined = quarantined;
+    section.publish(new Suspects(ledger.all(), quarantined), context.time().monotonicMillis());
     recorder.tick();
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/QuarantineHandler.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/QuarantineHandler.java
@@ -9,10 +9,13 @@
 import org.lockdale.http.HttpProtocolError;
 import org.lockdale.http.HttpReply;
 
-/** Shows operators which requests are held back, and releases them at all nodes. */
+/** Lists the quarantined requests for operators, and releases them on all nodes. */
 public final class QuarantineHandler implements HttpHandler {
 
-  /** {@code GET} lists, {@code DELETE} of a fingerprint below it releases. */
+  /**
+   * Path of the endpoint: {@code GET} lists the quarantined requests, {@code DELETE} with a
+   * fingerprint below it releases one.
+   */
   public static final String PATH = "/quarantine";
 
   private static final int OK = 200;
@@ -26,7 +29,7 @@
   /**
    * Creates a handler.
    *
-   * @param quarantine what is held back
+   * @param quarantine the quarantine
    * @param eventLoop runs the quarantine
    * @param time clock
    */
@@ -56,14 +59,14 @@
   private String list() {
     long now = time.monotonicMillis();
     StringBuilder lines = new StringBuilder();
-    for (HeldRequest held : quarantine.held()) {
+    for (HeldRequest request : quarantine.held()) {
       lines
           .append("fingerprint=")
-          .append(held.fingerprint())
+          .append(request.fingerprint())
           .append(" backends=")
-          .append(held.ends())
+          .append(request.ends())
           .append(" remaining-ms=")
-          .append(held.untilMillis() - now)
+          .append(request.untilMillis() - now)
           .append('\n');
     }
     return lines.toString();
@@ -73,8 +76,8 @@
     Optional<RequestFingerprint> fingerprint = RequestFingerprint.parse(text);
     boolean released = fingerprint.isPresent() && quarantine.release(fingerprint.get());
     return released
-        ? HttpReply.text(OK, "Released; the other nodes hear of it at once.")
-        : HttpReply.text(NOT_FOUND, "No such request is held back; GET " + PATH + " lists them.");
+        ? HttpReply.text(OK, "Released; all other nodes are notified at once.")
+        : HttpReply.text(NOT_FOUND, "No such request is quarantined; GET " + PATH + " lists them.");
   }
 
   @Override
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/RequestFingerprint.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/RequestFingerprint.java
@@ -9,13 +9,13 @@
 import org.lockdale.gateway.caller.CallerRequest;
 
 /**
- * Tells requests with the same contents from others: method, host, path with query, caller and
- * body. Ids, deadlines and resume points of a single try are not part of it. The caller is, so that
- * no caller can get the request of another one held back.
+ * Identifies requests with the same contents: method, host, path with query, caller and body. Ids,
+ * deadlines and resume points, which differ between tries, are not part of it. The caller is part
+ * of it, so that no caller can have a request of another one quarantined.
  *
- * <p>It is the first half of a SHA-256: nobody can choose a request that has the fingerprint of
- * another one, without a key that all nodes would have to share. It is computed for few requests
- * only, those that {@link #sketchOf} doesn't tell from a suspect.
+ * <p>It is the first half of a SHA-256 digest, so that a request with the fingerprint of another
+ * one can't be constructed, without a key that all nodes would have to share. It is computed for
+ * few requests only: those that {@link #sketchOf} doesn't distinguish from a suspect.
  *
  * @param high first 64 bits
  * @param low next 64 bits
@@ -35,7 +35,7 @@
     MessageDigest digest = sha256();
     for (String text : new String[] {request.method(), request.host(), request.uri(), caller}) {
       byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-      // With the length in front, no two lists of texts give the same bytes.
+      // The length prefix ensures that no two lists of texts give the same bytes.
       digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).flip());
       digest.update(bytes);
     }
@@ -44,9 +44,9 @@
   }
 
   /**
-   * Loads the digest, so that a training run puts it into the archive of classes. Its first use
-   * takes 39 ms of processor time without one, on a whole core, and comes with the first end of a
-   * back end.
+   * Loads the digest implementation, so that a training run includes it in the class data archive.
+   * Without an archive its first use, at the first crash of a backend, takes 39 ms of processor
+   * time, even with a core to itself.
    */
   public static void prepare() {
     sha256().digest(new byte[0]);
@@ -56,16 +56,16 @@
     try {
       return MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException impossible) {
-      throw new IllegalStateException("each Java platform has SHA-256", impossible);
+      throw new IllegalStateException("every Java platform supports SHA-256", impossible);
     }
   }
 
   /**
-   * Computes what tells most requests apart at next to no cost, without a look at the body. Equal
-   * requests have equal sketches; others may share one.
+   * Computes a cheap hash that distinguishes most requests without reading the body. Equal requests
+   * have equal sketches; different ones may share one.
    *
    * @param request the request
-   * @param caller as for the fingerprint
+   * @param caller name of the tenant, or the key where there is none
    */
   public static int sketchOf(CallerRequest request, String caller) {
     int sketch = request.uri().hashCode();
@@ -73,7 +73,7 @@
     return PRIME * sketch + request.body().length;
   }
 
-  /** Reads what {@link #toString} wrote; empty where it is something else. */
+  /** Parses the text form that {@link #toString} returns; empty if the text is anything else. */
   static Optional<RequestFingerprint> parse(String text) {
     if (text.length() != DIGITS || !text.chars().allMatch(HexFormat::isHexDigit)) {
       return Optional.empty();
@@ -90,7 +90,10 @@
     return HexFormat.of().toHexDigits(high) + HexFormat.of().toHexDigits(low);
   }
 
-  /** Written out, since a record's own is linked anew in every process that calls it. */
+  /**
+   * Written explicitly, because the method that a record generates is linked again in each process
+   * that calls it.
+   */
   @Override
   public boolean equals(Object other) {
     return other instanceof RequestFingerprint that && high == that.high && low == that.low;
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/Suspect.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/Suspect.java
@@ -4,56 +4,59 @@
 import java.util.TreeMap;
 
 /**
- * A request under which back ends ended. Immutable; what several nodes know of it is merged, and
- * the result doesn't depend on the order, so that all come to the same in the end.
+ * A request that was running on backends when they crashed. Immutable. What several nodes know of
+ * it is merged, and the result doesn't depend on the order, so that all nodes converge.
  *
  * @param fingerprint the request
- * @param sketch tells most other requests apart without their bodies
- * @param ends back ends that ended while it ran on them, by the id of the incarnation
+ * @param sketch distinguishes it from most other requests without a look at their bodies
+ * @param ends crashes of backends while they ran it, by the id of the incarnation
  */
 public record Suspect(RequestFingerprint fingerprint, int sketch, Map<String, SuspectEnd> ends) {
 
-  /** Copies the ends. */
+  /** Copies the map of crashes. */
   public Suspect {
     ends = Map.copyOf(ends);
   }
 
-  /** Returns the sum of what speaks against the request. */
+  /** Returns the sum of the weights of its crashes. */
   int weight() {
     int weight = 0;
-    for (SuspectEnd end : ends.values()) {
-      weight += end.weight();
+    for (SuspectEnd crash : ends.values()) {
+      weight += crash.weight();
     }
     return weight;
   }
 
-  /** Returns what both know. */
+  /** Returns the union of two views of the same request. */
   Suspect merge(Suspect other) {
     Map<String, SuspectEnd> merged = new TreeMap<>(ends);
-    other.ends.forEach((backend, end) -> merged.merge(backend, end, SuspectEnd::merge));
+    other.ends.forEach((backend, crash) -> merged.merge(backend, crash, SuspectEnd::merge));
     return new Suspect(fingerprint, sketch, merged);
   }
 
-  /** Returns whether this knows all that another one does. */
+  /** Returns whether this view contains everything in another one. */
   boolean includes(Suspect other) {
     return merge(other).equals(this);
   }
 
-  /** Returns the same request with nothing that speaks against it. */
+  /** Returns the same request with all crashes forgiven. */
   Suspect forgive() {
     Map<String, SuspectEnd> forgiven = new TreeMap<>();
-    ends.forEach((backend, end) -> forgiven.put(backend, end.forgive()));
+    ends.forEach((backend, crash) -> forgiven.put(backend, crash.forgive()));
     return new Suspect(fingerprint, sketch, forgiven);
   }
 
-  /** Returns the same request without the end of one back end, which lives. */
+  /** Returns the same request with the crash of one backend forgiven, since it is alive. */
   Suspect forgive(String backend) {
     Map<String, SuspectEnd> forgiven = new TreeMap<>(ends);
-    forgiven.computeIfPresent(backend, (id, end) -> end.forgive());
+    forgiven.computeIfPresent(backend, (id, crash) -> crash.forgive());
     return new Suspect(fingerprint, sketch, forgiven);
   }
 
-  /** Returns the same request with as many ends forgiven as bring it to a weight. */
+  /**
+   * Returns the same request with as many crashes forgiven, in the order of the backends' ids, as
+   * bring its weight down to a limit.
+   */
   Suspect forgiveDownTo(int weight) {
     Suspect lighter = this;
     for (String backend : new TreeMap<>(ends).keySet()) {
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectEnd.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectEnd.java
@@ -1,18 +1,19 @@
 package org.lockdale.gateway.quarantine;
 
 /**
- * What the end of a back end says of a request that ran on it. Two nodes' views are merged whatever
- * their order.
+ * What the crash of a backend indicates about a request that was running on it. Merging the views
+ * of two nodes gives the same result in either order.
  *
- * @param early whether the answer had not begun, or a moment before only
- * @param forgiven whether it no longer speaks against the request
+ * @param early whether the backend crashed before the answer began, or so shortly after that the
+ *     request is a likely cause
+ * @param forgiven whether the crash no longer counts against the request
  */
 public record SuspectEnd(boolean early, boolean forgiven) {
 
   private static final int EARLY_WEIGHT = 3;
   private static final int LATE_WEIGHT = 2;
 
-  /** Returns how much it speaks against the request. */
+  /** Returns how much the crash counts against the request; 0 if it is forgiven. */
   int weight() {
     return forgiven ? 0 : early ? EARLY_WEIGHT : LATE_WEIGHT;
   }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectLedger.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectLedger.java
@@ -11,75 +11,84 @@
 import java.util.TreeSet;
 
 /**
- * Decides which requests are held back since back ends end under them. An end takes all requests
- * along that run on the back end, and one of them at most is its cause, so one end says little, and
- * the same request at the ends of several back ends says much.
+ * Decides which requests are quarantined because backends crash under them. A crash affects all
+ * requests that run on the backend, of which at most one is its cause, so one crash is weak
+ * evidence, and the same request at the crashes of several backends is strong evidence.
  *
- * <p>A request is held back from its third end on, where its answer had not begun or a moment
- * before only; of others from its fifth end on, since an answer that had been coming for longer
- * counts two thirds. A good answer clears it. Ends that a request shares with one that is held back
- * count whole: to leave them out spared no innocent request in 200 simulated runs of each of six
- * kinds, and let requests that end servers together go on.
+ * <p>A request is quarantined from its third crash on, if at each its answer had not begun or had
+ * begun only shortly before, and from its fifth crash on otherwise, since a crash under an answer
+ * that had been arriving for longer counts two thirds. A successful answer clears a request.
+ * Crashes that a request shares with a quarantined one count in full: excluding them spared no
+ * innocent request in 200 simulated runs of each of six scenarios, and let requests that crash
+ * servers together continue.
  *
- * <p>It answers requests that end servers one after the other, at about one a second and with
- * twenty neighbours each; not overload, which ends no server. A state machine without I/O; not safe
- * for use by several threads.
+ * <p>It addresses requests that crash servers one after another, about one per second, with about
+ * twenty other requests on each server. It doesn't address overload, which crashes no server. A
+ * state machine without I/O; not safe for use by several threads.
  */
 final class SuspectLedger {
 
-  /** Weight of three ends before the answer began. */
+  /** Weight from which a request is quarantined: that of three crashes before the answer began. */
   static final int QUARANTINE_WEIGHT = 9;
 
   /**
-   * Weight of five such ends, which it takes while many requests come to three: servers that end
-   * all the time end under any request, and innocent ones would be held back. Two sends beyond the
-   * third end are borne by the deployments, which allow three.
+   * Weight from which a request is quarantined while many requests reach three crashes: that of
+   * five such crashes. Servers that crash all the time crash under any request, and innocent ones
+   * would be quarantined. The two further sends after the third crash are within the three that the
+   * deployments tolerate.
    */
   private static final int QUARANTINE_WEIGHT_IN_CROWD = 15;
 
   /**
-   * With less, three requests that end servers in several copies, and their neighbours, make a
-   * crowd, and go on beyond their third end.
+   * Number of requests with three crashes above which the higher weight is required. With a lower
+   * number, three requests that crash servers and are sent in several copies would reach it
+   * together with the requests beside them, and continue beyond their third crash.
    */
-  private static final int CROWD = 32;
+  private static final int CROWD_THRESHOLD = 32;
 
   /**
-   * Weight of one such end. All that run there get it, so it says little of each, but the nodes
-   * that know of it may all be gone by the next.
+   * Weight of one such crash. All requests on the backend get it, so it says little about each of
+   * them, but all nodes that know of it may be gone by the next crash.
    */
   static final int SINGLE_CRASH_WEIGHT = 3;
 
-  /** Weight of two such ends: the next may decide, so all nodes have to know by then. */
-  static final int WATCHED_WEIGHT = 6;
+  /**
+   * Weight of two such crashes, from which a suspect is significant: the next crash may quarantine
+   * it, so all nodes have to know of it by then.
+   */
+  static final int SIGNIFICANT_WEIGHT = 6;
 
   /**
-   * Answers that had been coming for longer when their back end ended had run well for a while, so
-   * that they are unlikely causes; in the recorded incident the cause ran for 40 to 80 ms.
+   * Longest time in milliseconds for which an answer had been arriving at an early crash. A request
+   * that had run well for longer is an unlikely cause; in a recorded incident the cause ran for 40
+   * to 80 ms.
    */
   static final long EARLY_MILLIS = 1_000;
 
-  /** Two crashes of a third of a fleet's engines leave some 500; a suspect takes some 300 bytes. */
+  /**
+   * Two crashes of a third of a fleet's engines leave about 500 suspects of about 300 bytes each.
+   */
   private static final int MAX_SUSPECTS = 1_024;
 
   private static final class Entry {
     private Suspect suspect;
-    private long newEndAtMillis;
+    private long lastCrashAtMillis;
 
-    /** When each end was learned, by back end. */
+    /** Monotonic times at which the crashes were learned, by backend id. */
     private final Map<String, Long> learnedAt = new HashMap<>();
 
     Entry(Suspect suspect, long nowMillis) {
       this.suspect = suspect;
-      this.newEndAtMillis = nowMillis;
+      this.lastCrashAtMillis = nowMillis;
     }
 
-    void learned(Suspect told, long nowMillis) {
-      told.ends().keySet().forEach(backend -> learnedAt.putIfAbsent(backend, nowMillis));
+    void recordLearned(Suspect received, long nowMillis) {
+      received.ends().keySet().forEach(backend -> learnedAt.putIfAbsent(backend, nowMillis));
     }
 
-    boolean isEnded(String backend) {
-      SuspectEnd end = suspect.ends().get(backend);
-      return end != null && !end.forgiven();
+    boolean isCrashed(String backend) {
+      SuspectEnd crash = suspect.ends().get(backend);
+      return crash != null && !crash.forgiven();
     }
   }
 
@@ -89,52 +98,54 @@
   /**
    * Creates an empty ledger.
    *
-   * @param holdMillis time after the last end for which a request is held back
+   * @param holdMillis time in milliseconds after the last crash for which a request is quarantined
    */
   SuspectLedger(long holdMillis) {
     this.holdMillis = holdMillis;
   }
 
   /**
-   * Takes in that attempts of a request were lost here just now.
+   * Records that attempts of a request were lost on this node just now.
    *
    * @return whether any of it is new
    */
   boolean recordLoss(Suspect seen, long nowMillis) {
-    boolean news = merge(seen, nowMillis);
+    boolean changed = merge(seen, nowMillis);
     Entry entry = entries.get(seen.fingerprint());
     seen.ends().keySet().forEach(backend -> entry.learnedAt.put(backend, nowMillis));
-    return news;
+    return changed;
   }
 
   /**
-   * Takes in what is known of a request, here or at another node.
+   * Merges information about a request from this node or another one.
    *
    * @return whether any of it is new
    */
-  boolean merge(Suspect told, long nowMillis) {
-    Entry entry = entries.get(told.fingerprint());
+  boolean merge(Suspect received, long nowMillis) {
+    Entry entry = entries.get(received.fingerprint());
     if (entry == null) {
-      makeRoom();
-      Entry first = new Entry(told, nowMillis);
-      first.learned(told, nowMillis);
-      entries.put(told.fingerprint(), first);
+      evictIfFull();
+      Entry first = new Entry(received, nowMillis);
+      first.recordLearned(received, nowMillis);
+      entries.put(received.fingerprint(), first);
       return true;
     }
-    entry.learned(told, nowMillis);
-    Suspect merged = entry.suspect.merge(told);
+    entry.recordLearned(received, nowMillis);
+    Suspect merged = entry.suspect.merge(received);
     if (merged.equals(entry.suspect)) {
       return false;
     }
     if (merged.ends().size() > entry.suspect.ends().size()) {
-      entry.newEndAtMillis = nowMillis;
+      entry.lastCrashAtMillis = nowMillis;
     }
     entry.suspect = merged;
     return true;
   }
 
-  /** The lightest gives way, and of several the oldest. */
-  private void makeRoom() {
+  /**
+   * Removes the suspect with the least weight, and of several the oldest, if the ledger is full.
+   */
+  private void evictIfFull() {
     if (entries.size() >= MAX_SUSPECTS) {
       entries.values().stream()
           .min(Comparator.comparingInt(entry -> entry.suspect.weight()))
@@ -142,23 +153,30 @@
     }
   }
 
-  /** Returns what is known of a request. */
+  /** Returns the suspect with a fingerprint; empty if it is unknown. */
   Optional<Suspect> find(RequestFingerprint fingerprint) {
     return Optional.ofNullable(entries.get(fingerprint)).map(entry -> entry.suspect);
   }
 
-  /** Returns when the latest end of a request was learned; never for one that is not known. */
+  /**
+   * Returns the monotonic time at which the latest crash under a request was learned, or a time in
+   * the distant past if the request is unknown.
+   */
   long lastCrashAtMillis(RequestFingerprint fingerprint) {
     Entry entry = entries.get(fingerprint);
-    return entry == null ? Long.MIN_VALUE / 2 : entry.newEndAtMillis;
+    return entry == null ? Long.MIN_VALUE / 2 : entry.lastCrashAtMillis;
   }
 
-  /** Returns all requests that are remembered. */
+  /** Returns all suspects. */
   List<Suspect> all() {
     return entries.values().stream().map(entry -> entry.suspect).toList();
   }
 
-  /** Takes in that a request was answered well, or released; returns what is known now. */
+  /**
+   * Forgives all crashes of a request that was answered successfully or released.
+   *
+   * @return the new state of the suspect; empty if nothing changed
+   */
   Optional<Suspect> forgive(RequestFingerprint fingerprint) {
     Entry entry = entries.get(fingerprint);
     if (entry == null || entry.suspect.weight() == 0) {
@@ -168,25 +186,25 @@
     return Optional.of(entry.suspect);
   }
 
-  /** Returns the back ends whose ends speak against any request. */
+  /** Returns the ids of the backends whose crashes count against any request. */
   Set<String> crashedBackends() {
-    Set<String> ended = new TreeSet<>();
+    Set<String> crashed = new TreeSet<>();
     for (Entry entry : entries.values()) {
-      entry.suspect.ends().keySet().stream().filter(entry::isEnded).forEach(ended::add);
+      entry.suspect.ends().keySet().stream().filter(entry::isCrashed).forEach(crashed::add);
     }
-    return ended;
+    return crashed;
   }
 
   /**
-   * Takes in that a back end has lived at a moment. Ends that were learned later than that may have
-   * happened since.
+   * Records that a backend was alive at a moment. Crashes learned later than that may have happened
+   * since.
    *
-   * @return requests that were suspected for an end that did not happen
+   * @return suspects that lose a crash that did not happen
    */
   List<Suspect> recordAlive(String backend, long atMillis) {
     List<Suspect> changed = new ArrayList<>();
     for (Entry entry : entries.values()) {
-      if (entry.isEnded(backend) && entry.learnedAt.get(backend) < atMillis) {
+      if (entry.isCrashed(backend) && entry.learnedAt.get(backend) < atMillis) {
         entry.suspect = entry.suspect.forgive(backend);
         changed.add(entry.suspect);
       }
@@ -195,20 +213,20 @@
   }
 
   /**
-   * Ends what is due: a request that was held back for its time may be tried again, and is held
-   * back at its next end; others are forgotten.
+   * Processes expired suspects: a request whose quarantine time is over may be tried again, and is
+   * quarantined again at its next crash; other suspects are removed.
    *
    * @return requests that may be tried again
    */
   List<Suspect> expire(long nowMillis) {
     List<Suspect> released = new ArrayList<>();
     for (Entry entry : List.copyOf(entries.values())) {
-      if (nowMillis - entry.newEndAtMillis <= holdMillis) {
+      if (nowMillis - entry.lastCrashAtMillis <= holdMillis) {
         continue;
       }
-      if (entry.suspect.weight() > WATCHED_WEIGHT) {
-        entry.suspect = entry.suspect.forgiveDownTo(WATCHED_WEIGHT);
-        entry.newEndAtMillis = nowMillis;
+      if (entry.suspect.weight() > SIGNIFICANT_WEIGHT) {
+        entry.suspect = entry.suspect.forgiveDownTo(SIGNIFICANT_WEIGHT);
+        entry.lastCrashAtMillis = nowMillis;
         released.add(entry.suspect);
       } else {
         entries.remove(entry.suspect.fingerprint());
@@ -217,15 +235,16 @@
     return released;
   }
 
-  /** Returns the requests that are held back. */
+  /** Returns the requests that are quarantined. */
   List<HeldRequest> quarantined() {
-    List<Entry> heavy =
+    List<Entry> candidates =
         entries.values().stream()
             .filter(entry -> entry.suspect.weight() >= QUARANTINE_WEIGHT)
             .toList();
-    int enough = heavy.size() > CROWD ? QUARANTINE_WEIGHT_IN_CROWD : QUARANTINE_WEIGHT;
-    return heavy.stream()
-        .filter(entry -> entry.suspect.weight() >= enough)
+    int requiredWeight =
+        candidates.size() > CROWD_THRESHOLD ? QUARANTINE_WEIGHT_IN_CROWD : QUARANTINE_WEIGHT;
+    return candidates.stream()
+        .filter(entry -> entry.suspect.weight() >= requiredWeight)
         .map(this::quarantined)
         .toList();
   }
@@ -233,6 +252,6 @@
   private HeldRequest quarantined(Entry entry) {
     Suspect suspect = entry.suspect;
     return new HeldRequest(
-        suspect.fingerprint(), suspect.ends().keySet(), entry.newEndAtMillis + holdMillis);
+        suspect.fingerprint(), suspect.ends().keySet(), entry.lastCrashAtMillis + holdMillis);
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectMessages.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectMessages.java
@@ -7,29 +7,32 @@
 import org.lockdale.protocol.generated.SuspectEndRecord;
 import org.lockdale.protocol.generated.SuspectRecord;
 
-/** Suspects as nodes tell them each other, and as they stand in the nodes' own table. */
+/**
+ * Converts suspects to and from the form in which nodes send them to each other and keep them in
+ * the shared store.
+ */
 public final class SuspectMessages {
 
   private SuspectMessages() {}
 
-  /** Writes a suspect. */
+  /** Converts a suspect to a message. */
   public static SuspectRecord write(Suspect suspect) {
-    List<SuspectEndRecord> ends = new ArrayList<>();
+    List<SuspectEndRecord> crashes = new ArrayList<>();
     for (Map.Entry<String, SuspectEnd> end : suspect.ends().entrySet()) {
-      SuspectEnd said = end.getValue();
-      ends.add(new SuspectEndRecord(end.getKey(), said.early(), said.forgiven()));
+      SuspectEnd crash = end.getValue();
+      crashes.add(new SuspectEndRecord(end.getKey(), crash.early(), crash.forgiven()));
     }
     RequestFingerprint fingerprint = suspect.fingerprint();
-    return new SuspectRecord(fingerprint.high(), fingerprint.low(), suspect.sketch(), ends);
+    return new SuspectRecord(fingerprint.high(), fingerprint.low(), suspect.sketch(), crashes);
   }
 
-  /** Reads a suspect. */
+  /** Converts a message to a suspect. */
   public static Suspect read(SuspectRecord message) {
-    Map<String, SuspectEnd> ends = new TreeMap<>();
+    Map<String, SuspectEnd> crashes = new TreeMap<>();
     for (SuspectEndRecord end : message.getEnds()) {
-      ends.put(end.getEngine(), new SuspectEnd(end.getEarly(), end.getForgiven()));
+      crashes.put(end.getEngine(), new SuspectEnd(end.getEarly(), end.getForgiven()));
     }
     RequestFingerprint fingerprint = new RequestFingerprint(message.getHigh(), message.getLow());
-    return new Suspect(fingerprint, message.getSketch(), ends);
+    return new Suspect(fingerprint, message.getSketch(), crashes);
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectRecorder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectRecorder.java
@@ -14,45 +14,67 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps the rows of the requests that are suspected most in step with the ledger. Who saw an end
- * records it at once; what nobody has recorded after a while is recorded by the coordinating relay,
- * and later by any node, so that it is there when the store is back, whatever became of the others.
- * Two nodes may replace each other's row; who finds less in it than it knows writes it again. Runs
- * on one event loop.
+ * Keeps the rows of the main suspects in the shared store up to date with the ledger. The node that
+ * observed a crash records it at once; what no node has recorded after a while is recorded by the
+ * coordinating relay node, and later by any node, so that it is recorded once the store is
+ * available again, whatever became of the other nodes. Two nodes may overwrite each other's row; a
+ * node that finds less in a row than it knows writes it again. Runs on one event loop.
  */
 final class SuspectRecorder {
 
-  /** The node that saw the end writes within this time, unless the store fails it. */
-  private static final long COORDINATOR_WAIT_MILLIS = 400;
+  /**
+   * Delay before the coordinator writes a row; the node that observed the crash writes it within
+   * this time unless the store fails.
+   */
+  private static final long COORDINATOR_DELAY_MILLIS = 400;
 
-  /** Less than the contact time of the deployments, three seconds, by the time of a reading. */
-  private static final long OTHERS_WAIT_MILLIS = 1_200;
+  /**
+   * Delay before any other node writes a row. It is less than the three seconds after which nodes
+   * that are connected again must agree, by the time that a reading takes.
+   */
+  private static final long OTHERS_DELAY_MILLIS = 1_200;
 
-  /** A store that is back is written to within this time. */
+  /**
+   * Delay of a retry after a failed write, within which a store that is available again is written
+   * to.
+   */
   private static final long RETRY_MILLIS = 500;
 
-  /** Rows that say nothing any more are removed once all nodes have read them. */
+  /**
+   * Delay before a row that is no longer needed is removed; all nodes have read its last state by
+   * then.
+   */
   private static final long REMOVE_AFTER_MILLIS = 15_000;
 
   /**
-   * Rows of requests with a first end, as long as no more is known of them. Servers end with some
-   * twenty requests each, of which a few had no answer yet.
+   * Number of rows from which on requests with a single crash are not recorded. Servers crash with
+   * about twenty requests each, of which a few had no answer yet.
    */
-  private static final int MAX_FIRST_ROWS = 32;
+  private static final int MAX_SINGLE_CRASH_ROWS = 32;
 
-  /** A row of a first end is removed then; the same request ends servers again within seconds. */
-  private static final long FIRST_ROW_MILLIS = 30_000;
+  /**
+   * Age of a single crash up to which its row is kept; a request that crashes servers does so again
+   * within seconds.
+   */
+  private static final long SINGLE_CRASH_ROW_MILLIS = 30_000;
 
-  /** Less than a row stands, so that none is written again that was just removed. */
-  private static final long FIRST_WRITE_MILLIS = 20_000;
+  /**
+   * Greatest age of a single crash that is recorded; less than the age up to which its row is kept,
+   * so that no row is written again that was just removed.
+   */
+  private static final long SINGLE_CRASH_WRITE_MILLIS = 20_000;
 
   /**
-   * Rows of requests that are not held back yet. While servers end all the time many innocent
-   * requests come to two ends, and each row is a call of the store and is read by all nodes.
+   * Number of rows of significant suspects from which on those that are not quarantined yet are not
+   * recorded. While servers crash all the time, many innocent requests reach two crashes, and each
+   * row costs a call to the store and is read by all nodes.
    */
-  private static final int MAX_WATCHED_ROWS = 32;
+  private static final int MAX_SIGNIFICANT_ROWS = 32;
 
-  /** Rows in all: a caller may make ever new requests that end servers. */
+  /**
+   * Number of rows from which on no further suspect is recorded, since a caller may send any number
+   * of different requests that crash servers.
+   */
   private static final int MAX_ROWS = 256;
 
   private record Missing(Suspect suspect, long sinceMillis) {}
@@ -65,7 +87,7 @@
   private final Set<RequestFingerprint> seenLocally = new HashSet<>();
   private final Map<RequestFingerprint, Suspect> recorded = new HashMap<>();
   private final Map<RequestFingerprint, Missing> missing = new HashMap<>();
-  private final Map<RequestFingerprint, Long> idleSince = new HashMap<>();
+  private final Map<RequestFingerprint, Long> unneededSince = new HashMap<>();
   private final Set<RequestFingerprint> writing = new HashSet<>();
   private long retryAtMillis = Long.MIN_VALUE;
   private boolean failing;
@@ -83,16 +105,20 @@
     this.time = time;
   }
 
-  /** Notes that this node has seen a back end end under a request, or has forgiven it. */
+  /**
+   * Records that this node has observed a crash under a request, or has forgiven it, so that this
+   * node writes its row at once.
+   */
   void markSeenLocally(RequestFingerprint fingerprint) {
     seenLocally.add(fingerprint);
   }
 
   /**
-   * Takes in all rows.
+   * Processes all rows of the store.
    *
-   * @return those that were not there, or otherwise, at the last reading; what the ledger has
-   *     forgotten since must not come back from a row that nobody has removed yet
+   * @return rows that are new or changed since the previous reading; other rows are left out, so
+   *     that suspects the ledger has dropped since are not restored from a row that has not been
+   *     removed yet
    */
   List<Suspect> update(Collection<Suspect> rows) {
     Map<RequestFingerprint, Suspect> before = Map.copyOf(recorded);
@@ -101,7 +127,7 @@
     return rows.stream().filter(row -> !row.equals(before.get(row.fingerprint()))).toList();
   }
 
-  /** Writes and removes what is due; to be called from time to time and after news. */
+  /** Writes and removes the rows that are due; to be called periodically and after changes. */
   void tick() {
     long now = time.monotonicMillis();
     List<Suspect> known = ledger.all();
@@ -111,26 +137,27 @@
       return;
     }
     for (Missing each : List.copyOf(missing.values())) {
-      if (now - each.sinceMillis() >= waitOf(each.suspect().fingerprint())) {
+      if (now - each.sinceMillis() >= writeDelayOf(each.suspect().fingerprint())) {
         write(each.suspect());
       }
     }
     if (coordinator.getAsBoolean()) {
-      removeIdle(now);
+      removeUnneeded(now);
     }
   }
 
   private void findMissing(List<Suspect> known, long nowMillis) {
     Set<RequestFingerprint> found = new HashSet<>();
-    int watched = (int) recorded.values().stream().filter(SuspectRecorder::isWatched).count();
+    int significant =
+        (int) recorded.values().stream().filter(SuspectRecorder::isSignificant).count();
     for (Suspect suspect : known) {
       Suspect row = recorded.get(suspect.fingerprint());
       boolean wanted =
           row == null
-              ? hasRoomFor(suspect, recorded.size() + found.size(), watched, nowMillis)
-              : !row.includes(suspect) && !isIdle(suspect, row);
+              ? hasRoomFor(suspect, recorded.size() + found.size(), significant, nowMillis)
+              : !row.includes(suspect) && !needsNoUpdate(suspect, row);
       if (wanted) {
-        watched += row == null && isWatched(suspect) ? 1 : 0;
+        significant += row == null && isSignificant(suspect) ? 1 : 0;
         found.add(suspect.fingerprint());
         Missing before = missing.get(suspect.fingerprint());
         long since = before == null ? nowMillis : before.sinceMillis();
@@ -140,37 +167,40 @@
     missing.keySet().retainAll(found);
   }
 
-  private boolean hasRoomFor(Suspect suspect, int rows, int watchedRows, long nowMillis) {
+  private boolean hasRoomFor(Suspect suspect, int rows, int significantRows, long nowMillis) {
     int weight = suspect.weight();
     if (weight >= SuspectLedger.QUARANTINE_WEIGHT) {
       return rows < MAX_ROWS;
     }
-    if (weight >= SuspectLedger.WATCHED_WEIGHT) {
-      return watchedRows < MAX_WATCHED_ROWS;
+    if (weight >= SuspectLedger.SIGNIFICANT_WEIGHT) {
+      return significantRows < MAX_SIGNIFICANT_ROWS;
     }
     return weight >= SuspectLedger.SINGLE_CRASH_WEIGHT
-        && rows < MAX_FIRST_ROWS
-        && ageOf(suspect.fingerprint(), nowMillis) < FIRST_WRITE_MILLIS;
+        && rows < MAX_SINGLE_CRASH_ROWS
+        && ageOf(suspect.fingerprint(), nowMillis) < SINGLE_CRASH_WRITE_MILLIS;
   }
 
   private long ageOf(RequestFingerprint fingerprint, long nowMillis) {
     return nowMillis - ledger.lastCrashAtMillis(fingerprint);
   }
 
-  private static boolean isWatched(Suspect suspect) {
-    return suspect.weight() >= SuspectLedger.WATCHED_WEIGHT;
+  private static boolean isSignificant(Suspect suspect) {
+    return suspect.weight() >= SuspectLedger.SIGNIFICANT_WEIGHT;
   }
 
-  /** A first end that is taken back needs no call of its own; its row goes with the others. */
-  private static boolean isIdle(Suspect suspect, Suspect row) {
-    return suspect.weight() == 0 && !isWatched(row);
+  /**
+   * Returns whether a retracted single crash needs no write of its own; its row is removed with the
+   * others that are no longer needed.
+   */
+  private static boolean needsNoUpdate(Suspect suspect, Suspect row) {
+    return suspect.weight() == 0 && !isSignificant(row);
   }
 
-  private long waitOf(RequestFingerprint fingerprint) {
+  private long writeDelayOf(RequestFingerprint fingerprint) {
     if (seenLocally.contains(fingerprint)) {
       return 0;
     }
-    return coordinator.getAsBoolean() ? COORDINATOR_WAIT_MILLIS : OTHERS_WAIT_MILLIS;
+    return coordinator.getAsBoolean() ? COORDINATOR_DELAY_MILLIS : OTHERS_DELAY_MILLIS;
   }
 
   private void write(Suspect suspect) {
@@ -184,12 +214,12 @@
               if (failure == null) {
                 recorded.put(suspect.fingerprint(), suspect);
               }
-              concluded(suspect.fingerprint(), failure);
+              writeCompleted(suspect.fingerprint(), failure);
             },
             eventLoop);
   }
 
-  private void concluded(RequestFingerprint fingerprint, @Nullable Throwable failure) {
+  private void writeCompleted(RequestFingerprint fingerprint, @Nullable Throwable failure) {
     writing.remove(fingerprint);
     if (failure != null) {
       retryAtMillis = time.monotonicMillis() + RETRY_MILLIS;
@@ -203,33 +233,34 @@
     failing = failure != null;
   }
 
-  /** Rows that say nothing any more, or that the ledger has forgotten. */
-  private void removeIdle(long nowMillis) {
+  /** Removes rows that are no longer needed or whose suspects the ledger has dropped. */
+  private void removeUnneeded(long nowMillis) {
     for (RequestFingerprint fingerprint : List.copyOf(recorded.keySet())) {
       Optional<Suspect> known = ledger.find(fingerprint);
       if (known.isPresent() && isNeeded(known.get(), nowMillis)) {
-        idleSince.remove(fingerprint);
+        unneededSince.remove(fingerprint);
         continue;
       }
-      long since = idleSince.computeIfAbsent(fingerprint, key -> nowMillis);
+      long since = unneededSince.computeIfAbsent(fingerprint, key -> nowMillis);
       if (nowMillis - since >= REMOVE_AFTER_MILLIS && writing.add(fingerprint)) {
         table
             .remove(fingerprint)
-            .whenCompleteAsync((done, failure) -> removed(fingerprint, failure), eventLoop);
+            .whenCompleteAsync((done, failure) -> rowRemoved(fingerprint, failure), eventLoop);
       }
     }
-    idleSince.keySet().retainAll(recorded.keySet());
+    unneededSince.keySet().retainAll(recorded.keySet());
   }
 
   private boolean isNeeded(Suspect suspect, long nowMillis) {
     return suspect.weight() > 0
-        && (isWatched(suspect) || ageOf(suspect.fingerprint(), nowMillis) < FIRST_ROW_MILLIS);
+        && (isSignificant(suspect)
+            || ageOf(suspect.fingerprint(), nowMillis) < SINGLE_CRASH_ROW_MILLIS);
   }
 
-  private void removed(RequestFingerprint fingerprint, @Nullable Throwable failure) {
+  private void rowRemoved(RequestFingerprint fingerprint, @Nullable Throwable failure) {
     if (failure == null) {
       recorded.remove(fingerprint);
     }
-    concluded(fingerprint, failure);
+    writeCompleted(fingerprint, failure);
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectSender.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectSender.java
@@ -9,9 +9,9 @@
 import java.util.function.Consumer;
 
 /**
- * Tells all other nodes of suspects, by datagrams. What happens within a moment goes into one
- * message. Messages may be lost, so each is sent again: twice for any suspect, and for some seconds
- * where it is held back. Runs on one event loop.
+ * Sends suspects to all other nodes by datagrams. Changes within a short time go into one message.
+ * Messages may be lost, so each is repeated: once for any suspect, and for several seconds for one
+ * that is quarantined. Runs on one event loop.
  */
 final class SuspectSender {
 
@@ -20,23 +20,24 @@
   private static final long FIRST_REPEAT_MILLIS = 200;
 
   /**
-   * Further sends of the suspects that matter most; a cut that heals later is left to the table.
+   * Delays of further repeats, in milliseconds, for quarantined suspects. After a network partition
+   * that lasts longer, nodes read the suspects from the shared store.
    */
   private static final long[] LATER_REPEATS_MILLIS = {1_000, 2_500, 5_000};
 
-  /** A suspect with a few ends takes some 120 bytes; a datagram should stay below 1,400. */
+  /** A suspect with a few crashes takes about 120 bytes; a datagram should stay below 1,400. */
   private static final int MAX_IN_MESSAGE = 8;
 
   private final ScheduledExecutorService eventLoop;
   private final SuspectLedger ledger;
   private final Consumer<List<Suspect>> sender;
-  private Set<RequestFingerprint> waiting = new LinkedHashSet<>();
+  private Set<RequestFingerprint> pending = new LinkedHashSet<>();
 
   /**
    * Creates a sender.
    *
    * @param eventLoop runs it
-   * @param ledger tells what is known of a suspect when it is sent
+   * @param ledger provides the state of a suspect at the time it is sent
    * @param sender sends one message to all other nodes
    */
   SuspectSender(
@@ -46,31 +47,31 @@
     this.sender = sender;
   }
 
-  /** Tells all other nodes of a suspect. */
+  /** Schedules a suspect to be sent to all other nodes. */
   void broadcast(RequestFingerprint fingerprint) {
-    if (waiting.isEmpty()) {
-      eventLoop.schedule(this::gathered, GATHER_MILLIS, TimeUnit.MILLISECONDS);
+    if (pending.isEmpty()) {
+      eventLoop.schedule(this::sendGathered, GATHER_MILLIS, TimeUnit.MILLISECONDS);
     }
-    waiting.add(fingerprint);
+    pending.add(fingerprint);
   }
 
-  private void gathered() {
-    Set<RequestFingerprint> told = waiting;
-    waiting = new LinkedHashSet<>();
-    send(told, 0);
-    repeat(told, FIRST_REPEAT_MILLIS, 0);
+  private void sendGathered() {
+    Set<RequestFingerprint> fingerprints = pending;
+    pending = new LinkedHashSet<>();
+    send(fingerprints, 0);
+    repeat(fingerprints, FIRST_REPEAT_MILLIS, 0);
     for (long delay : LATER_REPEATS_MILLIS) {
-      repeat(told, delay, SuspectLedger.QUARANTINE_WEIGHT);
+      repeat(fingerprints, delay, SuspectLedger.QUARANTINE_WEIGHT);
     }
   }
 
-  private void repeat(Set<RequestFingerprint> told, long delayMillis, int leastWeight) {
-    eventLoop.schedule(() -> send(told, leastWeight), delayMillis, TimeUnit.MILLISECONDS);
+  private void repeat(Set<RequestFingerprint> fingerprints, long delayMillis, int leastWeight) {
+    eventLoop.schedule(() -> send(fingerprints, leastWeight), delayMillis, TimeUnit.MILLISECONDS);
   }
 
-  private void send(Set<RequestFingerprint> told, int leastWeight) {
+  private void send(Set<RequestFingerprint> fingerprints, int leastWeight) {
     List<Suspect> message = new ArrayList<>();
-    for (RequestFingerprint fingerprint : told) {
+    for (RequestFingerprint fingerprint : fingerprints) {
       ledger
           .find(fingerprint)
           .filter(suspect -> suspect.weight() >= leastWeight)
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectTable.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectTable.java
@@ -6,32 +6,33 @@
 import org.lockdale.gateway.table.TableRowChange;
 
 /**
- * Port of the rows in which the nodes of a deployment keep the requests that are suspected most, so
- * that nodes which start, or were cut off, know them. Futures fail with a table service exception.
+ * Port to the rows of the shared store in which the nodes of a deployment keep the main suspects,
+ * so that nodes that start, or were isolated, know them. Futures fail with a table service
+ * exception.
  */
 public interface SuspectTable {
 
-  /** Records a suspect in place of what was recorded of it before. */
+  /** Records a suspect, replacing any earlier record of it. */
   CompletableFuture<@Nullable Void> record(Suspect suspect);
 
-  /** Removes what is recorded of a request. */
+  /** Removes the record of a suspect. */
   CompletableFuture<@Nullable Void> remove(RequestFingerprint fingerprint);
 
   /**
-   * Reads a suspect; empty where the row is of another kind.
+   * Reads a suspect from a row; empty if the row is of another kind.
    *
    * @throws org.lockdale.gateway.table.MalformedRecordException if it can't be read
    */
   Optional<Suspect> suspect(TableRowChange row);
 
-  /** Records that a suspected request is being sent to a back end. */
+  /** Records that a suspect request is being sent to a backend. */
   CompletableFuture<@Nullable Void> recordAttempt(SuspectAttempt attempt);
 
-  /** Removes what is recorded of an attempt. */
+  /** Removes the record of an attempt. */
   CompletableFuture<@Nullable Void> removeAttempt(SuspectAttempt attempt);
 
   /**
-   * Reads an attempt of a suspected request; empty where the row is of another kind.
+   * Reads an attempt of a suspect request from a row; empty if the row is of another kind.
    *
    * @throws org.lockdale.gateway.table.MalformedRecordException if it can't be read
    */
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/Suspects.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/Suspects.java
@@ -10,12 +10,12 @@
 import org.lockdale.gateway.caller.CallerRequest;
 
 /**
- * Requests under which back ends ended, and which of them are held back, as the request path reads
- * them. Immutable.
+ * The requests under which backends crashed, and which of them are quarantined, as the request path
+ * reads them. Immutable.
  */
 public final class Suspects {
 
-  /** None. */
+  /** No suspects. */
   public static final Suspects NONE = new Suspects(Set.of(), List.of());
 
   private final Set<Integer> sketches = new HashSet<>();
@@ -33,31 +33,31 @@
   }
 
   /**
-   * Returns whether a request may be one of the suspects. Only then is its body looked at.
+   * Returns whether a request may be one of the suspects. The body is only read if it may.
    *
    * @param request the request
    * @param caller name of the tenant, or the key where there is none
    */
-  private boolean isLike(CallerRequest request, String caller) {
+  private boolean mayBeSuspect(CallerRequest request, String caller) {
     return !sketches.isEmpty() && sketches.contains(RequestFingerprint.sketchOf(request, caller));
   }
 
-  /** Returns why a request is held back, or empty where it may be sent. */
+  /** Returns why a request is quarantined, or empty if it may be sent. */
   Optional<HeldRequest> quarantined(CallerRequest request, String caller) {
-    return quarantined.isEmpty() || !isLike(request, caller)
+    return quarantined.isEmpty() || !mayBeSuspect(request, caller)
         ? Optional.empty()
         : Optional.ofNullable(quarantined.get(RequestFingerprint.of(request, caller)));
   }
 
-  /** Returns the fingerprint of a request under which back ends ended; empty for all others. */
+  /** Returns the fingerprint of a request if it is a suspect, or empty. */
   Optional<RequestFingerprint> fingerprintIfSuspect(CallerRequest request, String caller) {
-    if (!isLike(request, caller)) {
+    if (!mayBeSuspect(request, caller)) {
       return Optional.empty();
     }
     return Optional.of(RequestFingerprint.of(request, caller)).filter(suspected::contains);
   }
 
-  /** Returns an attempt of a request under which back ends ended; empty for all others. */
+  /** Returns an attempt of a request if it is a suspect, or empty. */
   Optional<SuspectAttempt> attempt(CallerRequest request, String caller, String backend) {
     return fingerprintIfSuspect(request, caller)
         .map(
@@ -66,7 +66,7 @@
                     fingerprint, RequestFingerprint.sketchOf(request, caller), backend));
   }
 
-  /** Returns the requests that are held back. */
+  /** Returns the requests that are quarantined. */
   public Collection<HeldRequest> quarantined() {
     return List.copyOf(quarantined.values());
   }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/package-info.java
@@ -1,4 +1,4 @@
-/** Finds the requests under which back ends end, and holds them back. */
+/** Detects the requests under which backends crash, and quarantines them. */
 @NullMarked
 package org.lockdale.gateway.quarantine;
 
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/AttemptJournalTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/AttemptJournalTest.java
@@ -13,17 +13,20 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Attempts of suspects outlive the nodes that send them, and count if their back ends end. */
+/**
+ * Tests that the rows of attempts of suspects outlive the nodes that sent them, and count if the
+ * backends crash.
+ */
 public final class AttemptJournalTest {
 
   private static final SuspectAttempt ATTEMPT = attempt(1);
 
   private final class Rows extends EmptySuspectTable {
     private final List<SuspectAttempt> present = new ArrayList<>();
-    private boolean away;
+    private boolean unavailable;
 
     private CompletableFuture<Void> change(Runnable change) {
-      if (away) {
+      if (unavailable) {
         return CompletableFuture.failedFuture(new IllegalStateException("away"));
       }
       change.run();
@@ -56,11 +59,11 @@
     return new SuspectAttempt(new RequestFingerprint(number, number), number, "i-1@1");
   }
 
-  private static BackendTable table(String... lives) {
+  private static BackendTable table(String... ids) {
     List<Backend> backends = new ArrayList<>();
-    for (String life : lives) {
-      InetSocketAddress address = InetSocketAddress.createUnresolved(life, 80);
-      backends.add(new Backend(life, "pool", address, "zone", 4, false, Map.of()));
+    for (String id : ids) {
+      InetSocketAddress address = InetSocketAddress.createUnresolved(id, 80);
+      backends.add(new Backend(id, "pool", address, "zone", 4, false, Map.of()));
     }
     return BackendTable.EMPTY.with(backends);
   }
@@ -72,19 +75,22 @@
     }
   }
 
-  /** Three servers ended within 0.2 s before the kill of the only node that knew of each. */
+  /**
+   * Three servers crashed, each within 0.2 s before the only node that knew of the crash was
+   * killed.
+   */
   @Test
-  public void whatAKilledNodeHadSentCountsOnceItsBackEndHasANextLife() {
+  public void attemptOfAKilledNodeCountsOnceItsBackendHasALaterIncarnation() {
     journal.begin(ATTEMPT);
     AttemptJournal next = new AttemptJournal(rows, Runnable::run, time);
     next.update(rows.present);
     assertEquals(next.takeCrashed(table("i-1@1")), List.of());
     assertEquals(next.takeCrashed(table("i-1@2")), List.of(ATTEMPT));
-    assertEquals(next.takeCrashed(table("i-1@2")), List.of(), "once");
+    assertEquals(next.takeCrashed(table("i-1@2")), List.of(), "reported once");
   }
 
   @Test
-  public void aLifeWithoutARecordIsOverAfterAWhile() {
+  public void anIncarnationWithoutARecordIsOverAfterAWhile() {
     journal.update(List.of(ATTEMPT));
     assertEquals(journal.takeCrashed(table("i-2@1")), List.of(), "its record may not be read yet");
     time.runMillis(5_000);
@@ -92,26 +98,26 @@
     assertEquals(journal.takeCrashed(table("i-2@1")), List.of(ATTEMPT));
   }
 
-  /** A table that was read before the life began has the one before it. */
+  /** A table that was read before the incarnation started contains the previous one. */
   @Test
-  public void anEarlierLifeOnRecordShowsNothing() {
+  public void aRecordOfAnEarlierIncarnationShowsNothing() {
     journal.update(List.of(ATTEMPT));
     time.runMillis(5_000);
     assertEquals(journal.takeCrashed(table("i-1@0")), List.of());
   }
 
   @Test
-  public void whatWasConcludedLeavesNoRow() {
+  public void aConcludedAttemptLeavesNoRow() {
     journal.begin(ATTEMPT);
     journal.begin(ATTEMPT);
     journal.conclude(ATTEMPT, false);
-    assertEquals(rows.present, List.of(ATTEMPT), "one is still under way");
+    assertEquals(rows.present, List.of(ATTEMPT), "one is still in progress");
     journal.conclude(ATTEMPT, false);
     assertEquals(rows.present, List.of());
   }
 
   @Test
-  public void whatWasLostStaysOnRecordUntilItsBackEndsFateIsKnown() {
+  public void aLostAttemptStaysRecordedUntilItsBackendsFateIsKnown() {
     journal.begin(ATTEMPT);
     journal.conclude(ATTEMPT, true);
     tickFor(9_000, false);
@@ -123,9 +129,9 @@
   @Test
   public void aRowThatTheStoreDidNotRemoveIsRemovedLater() {
     journal.begin(ATTEMPT);
-    rows.away = true;
+    rows.unavailable = true;
     journal.conclude(ATTEMPT, false);
-    rows.away = false;
+    rows.unavailable = false;
     tickFor(500, false);
     assertEquals(rows.present, List.of());
   }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/CrashDetectorTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/CrashDetectorTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A back end that ended is told from a connection that broke. */
+/** Tests that crashed backends are distinguished from broken connections. */
 public final class CrashDetectorTest {
 
   private static final InetSocketAddress ADDRESS =
@@ -32,8 +32,8 @@
     table = BackendTable.EMPTY.with(List.of(backend("i-1", ADDRESS, false)));
   }
 
-  private static Backend backend(String id, InetSocketAddress address, boolean leaving) {
-    return new Backend(id, "pool", address, "zone", 4, leaving, Map.of());
+  private static Backend backend(String id, InetSocketAddress address, boolean draining) {
+    return new Backend(id, "pool", address, "zone", 4, draining, Map.of());
   }
 
   private static LostAttempt lost(String requestId) {
@@ -52,19 +52,22 @@
   }
 
   @Test
-  public void aRefusedConnectionShowsTheEndOfAllThatWasLost() {
+  public void aRefusedConnectionShowsTheCrashUnderAllLostAttempts() {
     assertNull(lose("r1", 0));
     assertNull(lose("r2", 1));
-    BackendCrash end =
+    BackendCrash crash =
         detector.recordUnreachable("i-1", CrashEvidence.REFUSES_CONNECTIONS, table, 20);
-    assertEquals(end.evidence(), CrashEvidence.REFUSES_CONNECTIONS);
-    assertEquals(end.lost().size(), 2);
+    assertEquals(crash.evidence(), CrashEvidence.REFUSES_CONNECTIONS);
+    assertEquals(crash.lost().size(), 2);
     assertFalse(detector.hasUnresolved());
   }
 
-  /** Callers go on sending to the address of a server that has ended while a proxy takes them. */
+  /**
+   * Callers continue to send to the address of a crashed server while a proxy accepts their
+   * connections.
+   */
   @Test
-  public void fewAttemptsWaitForTheRecordOfTheNextLife() {
+  public void fewAttemptsWaitForTheRecordOfTheNextIncarnation() {
     lose("r", 0);
     detector.recordUnreachable("i-1", CrashEvidence.REFUSES_CONNECTIONS, table, 20);
     int counted = 0;
@@ -78,7 +81,7 @@
   }
 
   @Test
-  public void anAttemptThatIsToldAfterTheEndIsPartOfIt() {
+  public void anAttemptReportedAfterTheCrashIsPartOfIt() {
     lose("r1", 0);
     detector.recordUnreachable("i-1", CrashEvidence.REFUSES_CONNECTIONS, table, 20);
     BackendCrash late = lose("r2", 400);
@@ -87,16 +90,16 @@
   }
 
   @Test
-  public void aBackendThatAnswersALaterAttemptHasNotEnded() {
+  public void aBackendThatAnswersALaterAttemptHasNotCrashed() {
     lose("r1", 100);
     table.find("i-1").answered(101);
     assertTrue(detector.checkRecords(table, 350).isEmpty());
     assertFalse(detector.hasUnresolved());
   }
 
-  /** A slow node reads late what a back end wrote before its end. */
+  /** A slow node reads late what a backend wrote before it crashed. */
   @Test
-  public void anAnswerToAnEarlierAttemptIsNoSignOfLifeWheneverItIsRead() {
+  public void anAnswerToAnEarlierAttemptDoesNotRuleOutACrash() {
     lose("r1", 100);
     table.find("i-1").answered(100);
     detector.checkRecords(table, 350);
@@ -104,29 +107,29 @@
   }
 
   @Test
-  public void anotherIncarnationAtTheAddressShowsTheEnd() {
+  public void anotherIncarnationAtTheAddressShowsTheCrash() {
     lose("r1", 0);
     BackendTable after = table.with(List.of(backend("i-2", ADDRESS, false)));
     assertEquals(detector.checkRecords(after, 3_000).get(0).evidence(), CrashEvidence.REPLACED);
   }
 
   @Test
-  public void aRecordThatIsGoneShowsTheEnd() {
+  public void aRemovedRecordShowsTheCrash() {
     lose("r1", 0);
     BackendTable after = table.with(List.of(backend("i-2", OTHER_ADDRESS, false)));
     assertEquals(detector.checkRecords(after, 3_000).get(0).evidence(), CrashEvidence.RECORD_GONE);
   }
 
   @Test
-  public void oneThatLeavesAsPlannedIsNoEnd() {
+  public void aPlannedTerminationIsNoCrash() {
     lose("r1", 0);
-    BackendTable leaving = table.with(List.of(backend("i-1", ADDRESS, true)));
-    assertTrue(detector.checkRecords(leaving, 250).isEmpty());
+    BackendTable draining = table.with(List.of(backend("i-1", ADDRESS, true)));
+    assertTrue(detector.checkRecords(draining, 250).isEmpty());
     assertTrue(detector.checkRecords(table.with(List.of()), 3_000).isEmpty());
   }
 
   @Test
-  public void attemptsAtOneThatLeavesOrHasLeftAreNotWaitedFor() {
+  public void attemptsOnADrainingOrRemovedBackendAreNotFollowed() {
     table = table.with(List.of(backend("i-1", ADDRESS, true)));
     lose("r1", 0);
     assertFalse(detector.hasUnresolved());
@@ -135,9 +138,12 @@
     assertFalse(detector.hasUnresolved());
   }
 
-  /** The store may be away, so that no record tells; innocent requests would be held back. */
+  /**
+   * The store may be unavailable, so that no record shows that the server is draining; innocent
+   * requests would be quarantined.
+   */
   @Test
-  public void whatRanOnAServerThatSaidItLeavesIsNoWitnessOfItsEnd() {
+  public void aLostAttemptOnADrainingServerShowsNoCrash() {
     lose("r1", 0);
     table.find("i-1").leave();
     lose("r2", 10);
@@ -146,7 +152,7 @@
   }
 
   @Test
-  public void whatCannotBeToldIsForgotten() {
+  public void anUnresolvedLossIsDroppedAfterTheRetentionTime() {
     lose("r1", 0);
     assertTrue(detector.checkRecords(table, CrashDetector.RETENTION_MILLIS).isEmpty());
     assertTrue(detector.hasUnresolved());
@@ -154,9 +160,12 @@
     assertFalse(detector.hasUnresolved());
   }
 
-  /** Without the start an answer of the next life would have settled the end of the former. */
+  /**
+   * Without the start time, an answer of the next incarnation would have ruled out the crash of the
+   * previous one.
+   */
   @Test
-  public void theNextLifeUnderTheSameIdShowsTheEnd() {
+  public void theNextIncarnationUnderTheSameIdShowsTheCrash() {
     table = BackendTable.EMPTY.with(List.of(backend("i-1@1", ADDRESS, false)));
     detector.recordLoss(lostAt("i-1@1", "r1"), table, 0);
     BackendTable after = table.with(List.of(backend("i-1@2", ADDRESS, false)));
@@ -165,7 +174,7 @@
   }
 
   @Test
-  public void whatIsLostAtTheNextLifeIsNoPartOfTheFormerOnesEnd() {
+  public void aLossOnTheNextIncarnationIsNoPartOfThePreviousCrash() {
     table = BackendTable.EMPTY.with(List.of(backend("i-1@1", ADDRESS, false)));
     detector.recordLoss(lostAt("i-1@1", "r1"), table, 0);
     detector.recordUnreachable("i-1@1", CrashEvidence.REFUSES_CONNECTIONS, table, 20);
@@ -175,21 +184,15 @@
   }
 
   @Test
-  public void anotherInstanceThatAnswersShowsTheEndBeforeTheRecordDoes() {
+  public void anotherInstanceThatAnswersShowsTheCrashBeforeTheRecordDoes() {
     lose("r1", 0);
     table.find("i-1").end();
     assertEquals(detector.checkRecords(table, 250).get(0).evidence(), CrashEvidence.REPLACED);
     assertEquals(lose("r2", 300).lost().get(0).request().id(), "r2");
   }
 
-  private static LostAttempt lostAt(String life, String requestId) {
+  private static LostAttempt lostAt(String id, String requestId) {
     return new LostAttempt(
-        life,
-        ADDRESS,
-        Requests.of(requestId, "/a", "body"),
-        "tenant",
-        0,
-        LostAttempt.Loss.CLOSED,
-        0);
+        id, ADDRESS, Requests.of(requestId, "/a", "body"), "tenant", 0, LostAttempt.Loss.CLOSED, 0);
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/CrashWatchTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/CrashWatchTest.java
@@ -18,9 +18,10 @@
 import org.testng.annotations.Test;
 
 /**
- * Behind a proxy the address of a back end that ended takes connections and closes them. Its end
- * was known by its record only, 2.4 s later, and by one node until then; each of three such nodes
- * was killed in that time, and a request was sent once more than is borne.
+ * Tests that closed connections are reported before it is known whether the backend crashed. Behind
+ * a proxy the address of a crashed backend accepts connections and closes them. Its crash was known
+ * by its record only, 2.4 s later, and to a single node until then; each of three such nodes was
+ * killed in that time, and a request was sent once more than is tolerated.
  */
 public final class CrashWatchTest {
 
@@ -29,7 +30,7 @@
 
   private final VirtualTime time = new VirtualTime();
   private Queue<Reachability> answers;
-  private List<BackendCrash> ends;
+  private List<BackendCrash> crashes;
   private List<String> closed;
   private BackendTable table;
   private CrashWatch watch;
@@ -37,7 +38,7 @@
   @BeforeMethod
   public void create() {
     answers = new ArrayDeque<>();
-    ends = new ArrayList<>();
+    crashes = new ArrayList<>();
     closed = new ArrayList<>();
     table =
         BackendTable.EMPTY.with(
@@ -54,8 +55,8 @@
               }
 
               @Override
-              public void onCrash(BackendCrash end) {
-                ends.add(end);
+              public void onCrash(BackendCrash crash) {
+                crashes.add(crash);
               }
             },
             time);
@@ -72,23 +73,23 @@
   }
 
   private List<CrashEvidence> evidence() {
-    return ends.stream().map(BackendCrash::evidence).toList();
+    return crashes.stream().map(BackendCrash::evidence).toList();
   }
 
   @Test
-  public void connectionsThatAreClosedAtOnceTwiceShowTheEnd() {
+  public void connectionsThatAreClosedAtOnceTwiceShowTheCrash() {
     lose(Reachability.CLOSES, Reachability.CLOSES);
     assertEquals(evidence(), List.of(CrashEvidence.CLOSES_CONNECTIONS));
   }
 
   @Test
-  public void oneThatIsClosedOnceShowsNothing() {
+  public void aConnectionThatIsClosedAtOnceOnlyOnceShowsNothing() {
     lose(Reachability.CLOSES, Reachability.ACCEPTS);
     assertEquals(evidence(), List.of());
   }
 
   @Test
-  public void aRefusedConnectionShowsTheEnd() {
+  public void aRefusedConnectionShowsTheCrash() {
     lose(Reachability.REFUSES);
     assertEquals(evidence(), List.of(CrashEvidence.REFUSES_CONNECTIONS));
   }
@@ -99,9 +100,9 @@
     assertEquals(evidence(), List.of());
   }
 
-  /** Who saw it may be killed before it is known whether the back end ended. */
+  /** The node that observed it may be killed before it is known whether the backend crashed. */
   @Test
-  public void aClosedConnectionIsToldAtOnce() {
+  public void aClosedConnectionIsReportedAtOnce() {
     answers.add(Reachability.ACCEPTS);
     watch.attemptLost(lost("r1", LostAttempt.Loss.CLOSED));
     watch.attemptLost(lost("r2", LostAttempt.Loss.CLOSED));
@@ -110,9 +111,9 @@
     time.runMillis(100);
   }
 
-  /** An overloaded back end is silent as well, and takes long to be heard again. */
+  /** An overloaded backend is silent as well, and takes long to answer again. */
   @Test
-  public void silenceIsNotTaken() {
+  public void aSilentConnectionIsNotReportedAsClosed() {
     answers.add(Reachability.ACCEPTS);
     watch.attemptLost(lost("r1", LostAttempt.Loss.SILENT));
     time.runMillis(100);
@@ -120,27 +121,28 @@
   }
 
   /**
-   * A caller leaves 30 ms after it has sent its request, and 10 ms later the back end ends of it;
-   * only the connections of other requests show that.
+   * A caller leaves 30 ms after it has sent its request, and 10 ms later the request crashes the
+   * backend; only the connections of other requests show this.
    */
   @Test
-  public void whatWasGivenUpAMomentBeforeOthersCloseIsLostWithThem() {
+  public void anAttemptGivenUpShortlyBeforeOthersCloseIsLostWithThem() {
     answers.add(Reachability.REFUSES);
     watch.attemptLost(lost("left", LostAttempt.Loss.GIVEN_UP));
     time.runMillis(500);
-    assertEquals(closed, List.of(), "nothing speaks for an end yet");
+    assertEquals(closed, List.of(), "nothing indicates a crash yet");
     watch.attemptLost(lost("neighbour", LostAttempt.Loss.CLOSED));
     time.runMillis(1);
     assertEquals(closed, List.of("neighbour", "left"));
     time.runMillis(100);
-    assertEquals(ends.get(0).lost().size(), 2);
+    assertEquals(crashes.get(0).lost().size(), 2);
   }
 
   /**
-   * A loaded server began it 0.5 s after its caller left, and the close was handled 1.2 s later.
+   * A loaded server began the attempt 0.5 s after its caller had left, and the node handled the
+   * closed connection 1.2 s later.
    */
   @Test
-  public void whatWasGivenUpSecondsBeforeALoadedNodeHandlesTheCloseIsLostWithIt() {
+  public void anAttemptGivenUpSecondsBeforeALoadedNodeHandlesTheCloseIsLostWithIt() {
     answers.add(Reachability.REFUSES);
     watch.attemptLost(lost("left", LostAttempt.Loss.GIVEN_UP));
     time.runMillis(2_400);
@@ -151,7 +153,7 @@
   }
 
   @Test
-  public void whatItsBackEndHasOutlivedIsNotLostWithLaterOnes() {
+  public void aGivenUpAttemptThatItsBackendSurvivedIsNotLostWithLaterOnes() {
     answers.add(Reachability.REFUSES);
     watch.attemptLost(lost("left", LostAttempt.Loss.GIVEN_UP));
     time.runMillis(1_500);
@@ -159,17 +161,17 @@
     watch.attemptLost(lost("neighbour", LostAttempt.Loss.CLOSED));
     time.runMillis(100);
     assertEquals(closed, List.of("neighbour"));
-    assertEquals(ends.get(0).lost().size(), 1);
+    assertEquals(crashes.get(0).lost().size(), 1);
   }
 
   @Test
-  public void whatWasGivenUpLongBeforeIsNot() {
+  public void anAttemptGivenUpLongBeforeIsNotLostWithLaterOnes() {
     answers.add(Reachability.REFUSES);
     watch.attemptLost(lost("left", LostAttempt.Loss.GIVEN_UP));
     time.runMillis(3_500);
     watch.attemptLost(lost("neighbour", LostAttempt.Loss.CLOSED));
     time.runMillis(100);
     assertEquals(closed, List.of("neighbour"));
-    assertEquals(ends.get(0).lost().size(), 1);
+    assertEquals(crashes.get(0).lost().size(), 1);
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/EmptySuspectTable.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/EmptySuspectTable.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.lockdale.gateway.table.TableRowChange;
 
-/** A table that takes everything and holds nothing. */
+/** A table that accepts all writes and stores nothing. */
 class EmptySuspectTable implements SuspectTable {
 
   @Override
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/FaultInjector.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/FaultInjector.java
@@ -4,10 +4,10 @@
 import java.util.Random;
 import org.lockdale.coordination.simulation.VirtualTime;
 
-/** What goes wrong in a {@link QuarantineSimulation} beside its requests. */
+/** Injects the faults of a {@link QuarantineSimulation} that its requests do not cause. */
 final class FaultInjector {
 
-  private static final long RESETS_EVERY_MICROS = 250_000;
+  private static final long RESET_INTERVAL_MICROS = 250_000;
 
   private final QuarantineSimulation simulation;
   private final SimulationPlan plan;
@@ -30,13 +30,13 @@
       scheduleDisturbance();
     }
     if (plan.evidence().resets() > 0) {
-      time.schedule(RESETS_EVERY_MICROS, this::reset);
+      time.schedule(RESET_INTERVAL_MICROS, this::reset);
     }
   }
 
-  /** Breaks connections of servers that live on. */
+  /** Breaks connections of servers that stay alive. */
   private void reset() {
-    double share = plan.evidence().resets() * RESETS_EVERY_MICROS / 1_000_000;
+    double share = plan.evidence().resets() * RESET_INTERVAL_MICROS / 1_000_000;
     for (QuarantineSimulation.Server server : simulation.all) {
       for (QuarantineSimulation.Run run : List.copyOf(server.runs)) {
         if (random.nextDouble() < share) {
@@ -45,7 +45,7 @@
         }
       }
     }
-    time.schedule(RESETS_EVERY_MICROS, this::reset);
+    time.schedule(RESET_INTERVAL_MICROS, this::reset);
   }
 
   private void scheduleWave() {
@@ -54,7 +54,7 @@
         () -> {
           for (QuarantineSimulation.Server server : simulation.all) {
             if (random.nextDouble() < plan.waves().share()) {
-              server.end();
+              server.crash();
             }
           }
           scheduleWave();
@@ -79,23 +79,23 @@
       case 2 -> {
         simulation.storeDown = true;
         simulation.storeDisturbedUntilMillis = time.monotonicMillis() + millis;
-        time.schedule(millis * 1_000, this::storeBack);
+        time.schedule(millis * 1_000, this::restoreStore);
       }
       default -> {
-        node.cut = true;
+        node.isolated = true;
         node.disturbedUntilMillis = time.monotonicMillis() + millis;
-        time.schedule(millis * 1_000, () -> heal(node));
+        time.schedule(millis * 1_000, () -> reconnect(node));
       }
     }
   }
 
-  private void storeBack() {
+  private void restoreStore() {
     simulation.storeDown = false;
     simulation.nodes.forEach(QuarantineSimulation.Node::readServers);
   }
 
-  private void heal(QuarantineSimulation.Node node) {
-    node.cut = false;
+  private void reconnect(QuarantineSimulation.Node node) {
+    node.isolated = false;
     node.readServers();
     time.schedule(random.nextInt(QuarantineSimulation.TABLE_MILLIS) * 1_000L, node::readTable);
   }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulation.java
@@ -27,10 +27,10 @@
 import org.lockdale.http.Reachability;
 
 /**
- * Nodes before servers that end: under guilty requests, which come again at any node, and by
- * themselves in waves. Callers of innocent requests repeat at once. Datagrams are late and get
- * lost; the table may be away, nodes start again or are cut off from each other. Everything of a
- * node but its request path is the real code.
+ * Simulates nodes in front of servers that crash: under guilty requests, which are sent again to
+ * any node, and in waves that no request causes. Callers of innocent requests repeat them at once.
+ * Datagrams are delayed and lost; the store is unavailable at times, and nodes restart or are
+ * isolated from each other. Except for the request path, a node consists of the production code.
  */
 final class QuarantineSimulation {
 
@@ -42,27 +42,50 @@
   private static final long MAX_DELAY_MICROS = 20_000;
   static final int TABLE_MILLIS = 600;
 
-  /** Time from the end of a server until its record is gone, as in the soak's trace. */
+  /**
+   * Time in milliseconds from the crash of a server until its record is gone, as in a trace of the
+   * soak.
+   */
   private static final int RECORD_MILLIS = 2_200;
 
-  /** Witnesses of an end are killed within this time where the plan says so. */
+  /**
+   * Time in milliseconds within which the nodes that observed a crash are killed if the plan says
+   * so.
+   */
   private static final int WITNESS_MILLIS = 50;
 
   private static final int ALL_KILLED_MILLIS = 500;
 
-  /** Nodes that are killed together are back within this time, one after the other. */
+  /**
+   * Time in milliseconds within which nodes that were killed together restart, one after another.
+   */
   private static final int DOWN_MILLIS = 2_500;
 
-  /** A server that failed an attempt is left out by its node for this time. */
+  /** Time in milliseconds for which a node avoids a server that failed an attempt. */
   private static final long AVOID_MILLIS = 1_000;
 
-  /** Sends later than this after the third end of their request are counted, whoever sends. */
+  /**
+   * Time in milliseconds after the third crash of a request after which its sends are counted,
+   * whichever node sends.
+   */
   private static final long LATE_MILLIS = 1_000;
 
-  /** The latest that a loaded node reads that a connection has closed. */
+  /** Greatest delay in milliseconds with which a loaded node reads that a connection has closed. */
   private static final int READ_LATE_MILLIS = 900;
 
-  /** What came of it. */
+  /**
+   * The result of a run.
+   *
+   * @param worstLateSends most sends of one request more than {@link #CONTACT_MILLIS} after its
+   *     third crash by nodes that were undisturbed for that time
+   * @param ends crashes of servers
+   * @param innocents innocent requests
+   * @param refusedInnocents innocent requests that were refused at least once
+   * @param lost runs of innocent requests that were lost
+   * @param sendsAfterThirdEnd sends more than {@link #LATE_MILLIS} after the third crash of their
+   *     request
+   * @param rowsWritten writes and removals of rows
+   */
   record Result(
       int worstLateSends,
       int ends,
@@ -75,7 +98,7 @@
   final class Server {
     private String id;
     private boolean up = true;
-    private boolean onRecord = true;
+    private boolean hasRecord = true;
     private final InetSocketAddress address;
     final Set<Run> runs = new LinkedHashSet<>();
 
@@ -88,7 +111,7 @@
       return new Backend(id, "pool", address, "zone", 64, false, Map.of());
     }
 
-    void end() {
+    void crash() {
       if (!up) {
         return;
       }
@@ -98,7 +121,7 @@
       runs.clear();
       Set<Node> witnesses = new LinkedHashSet<>();
       lost.forEach(run -> witnesses.add(run.node));
-      lost.forEach(this::tellOfEnd);
+      lost.forEach(this::reportCrash);
       if (plan.evidence().witnessesKilled()) {
         witnesses.forEach(
             node -> time.schedule(random.nextInt(WITNESS_MILLIS) * 1_000L, node::restart));
@@ -111,13 +134,13 @@
                     random.nextInt(ALL_KILLED_MILLIS) * 1_000L,
                     () -> node.restartAfter(random.nextInt(DOWN_MILLIS))));
       }
-      time.schedule(RECORD_MILLIS * 1_000L + random.nextInt(200_000), this::lapse);
+      time.schedule(RECORD_MILLIS * 1_000L + random.nextInt(200_000), this::removeRecord);
       time.schedule(plan.waves().restartMillis() * 1_000L, this::startAgain);
     }
 
-    /** A node that is killed before it has read of the end never does. */
-    private void tellOfEnd(Run run) {
-      Quarantine life = run.node.quarantine;
+    /** A node that is killed before it has read that the connection closed never reports it. */
+    private void reportCrash(Run run) {
+      Quarantine instance = run.node.quarantine;
       int late = plan.evidence().allKilled() > 0 ? random.nextInt(READ_LATE_MILLIS) : 0;
       if (late == 0) {
         run.lost();
@@ -126,24 +149,24 @@
       time.schedule(
           late * 1_000L,
           () -> {
-            if (run.node.quarantine == life) {
+            if (run.node.quarantine == instance) {
               run.lost();
             }
           });
     }
 
-    private void lapse() {
+    private void removeRecord() {
       if (!up) {
-        onRecord = false;
+        hasRecord = false;
         nodes.forEach(Node::readServers);
       }
     }
 
     private void startAgain() {
-      // The server keeps its id; its start tells the next life.
+      // The server keeps its id; the start time distinguishes the next incarnation.
       id = id.substring(0, id.indexOf('@') + 1) + time.wallMillis();
       up = true;
-      onRecord = true;
+      hasRecord = true;
       nodes.forEach(Node::readServers);
     }
   }
@@ -152,8 +175,8 @@
     private final Node node;
     private final Server server;
 
-    /** Life that the node takes the server for. */
-    private final String believed;
+    /** Incarnation that the node takes the server to be. */
+    private final String assumed;
 
     private final Contents contents;
     private final CallerRequest request;
@@ -166,15 +189,15 @@
     Run(
         Node node,
         Server server,
-        String believed,
+        String assumed,
         Contents contents,
         CallerRequest request,
         int triesLeft) {
       this.node = node;
       this.server = server;
-      this.believed = believed;
+      this.assumed = assumed;
       this.connectedAtMillis = node.connect(server);
-      this.recorded = node.quarantine.sending(request, "tenant", believed);
+      this.recorded = node.quarantine.sending(request, "tenant", assumed);
       this.contents = contents;
       this.request = request;
       this.triesLeft = triesLeft;
@@ -187,14 +210,14 @@
       }
     }
 
-    /** A server may work on for a moment after its caller has left. */
+    /** A server may continue for a moment after the caller has left. */
     private void giveUp() {
       if (server.runs.contains(this)) {
         givenUp = true;
         recorded.ifPresent(attempt -> node.quarantine.concluded(attempt, true));
         node.quarantine.lost(
             new LostAttempt(
-                believed,
+                assumed,
                 server.address,
                 request,
                 "tenant",
@@ -213,7 +236,7 @@
       }
       if (contents.guilty) {
         contents.ended(server.id);
-        server.end();
+        server.crash();
         return;
       }
       server.runs.remove(this);
@@ -233,7 +256,7 @@
       }
       node.quarantine.lost(
           new LostAttempt(
-              believed,
+              assumed,
               server.address,
               request,
               "tenant",
@@ -247,7 +270,7 @@
     }
   }
 
-  /** A request whatever the id of its try. */
+  /** A request with all its tries. */
   private final class Contents {
     private final String body;
     private final boolean guilty;
@@ -274,7 +297,7 @@
       if (now > thirdEndMillis + LATE_MILLIS) {
         sendsAfterThirdEnd++;
       }
-      if (now > thirdEndMillis + CONTACT_MILLIS && node.isInTouch(now)) {
+      if (now > thirdEndMillis + CONTACT_MILLIS && node.isUndisturbed(now)) {
         lateSends++;
       }
     }
@@ -291,15 +314,15 @@
     private final Map<InetSocketAddress, Long> avoidedUntil = new HashMap<>();
     private final LifeEvidence lives = new LifeEvidence(this::servers);
     long disturbedUntilMillis = -CONTACT_MILLIS;
-    boolean cut;
+    boolean isolated;
     private boolean down;
 
     Node(int number) {
       this.number = number;
-      begin();
+      initialize();
     }
 
-    private void begin() {
+    private void initialize() {
       executor = new VirtualExecutor(time);
       section = new Section<>(Suspects.NONE);
       Quarantine.Context context =
@@ -340,7 +363,7 @@
 
     private void startAgain() {
       down = false;
-      begin();
+      initialize();
       catchUp();
     }
 
@@ -352,10 +375,12 @@
     }
 
     private boolean reachesStore() {
-      return !storeDown && !cut;
+      return !storeDown && !isolated;
     }
 
-    /** Takes an idle connection or opens one; returns when it came up. */
+    /**
+     * Uses an idle connection or opens one; returns the monotonic time at which it was established.
+     */
     private long connect(Server server) {
       Long connected = idle.getOrDefault(server.address, new ArrayDeque<>()).pollLast();
       return connected == null ? time.monotonicMillis() : connected;
@@ -365,7 +390,7 @@
       avoidedUntil.put(server.address, time.monotonicMillis() + AVOID_MILLIS);
     }
 
-    /** Returns a server to send to, as this node knows them. */
+    /** Returns a server to send to, as far as this node knows the servers. */
     private Optional<Backend> choose() {
       List<Backend> known =
           servers.all().stream()
@@ -373,32 +398,36 @@
               .map(TrackedBackend::backend)
               .toList();
       long now = time.monotonicMillis();
-      List<Backend> sound =
+      List<Backend> available =
           known.stream()
               .filter(backend -> avoidedUntil.getOrDefault(backend.address(), 0L) <= now)
               .toList();
-      List<Backend> choice = sound.isEmpty() ? known : sound;
+      List<Backend> choice = available.isEmpty() ? known : available;
       return choice.isEmpty()
           ? Optional.empty()
           : Optional.of(choice.get(random.nextInt(choice.size())));
     }
 
-    /** Two other nodes tell what they know, as they do over the network. */
+    /** Receives the suspects of two other nodes, as a node does over the network when it starts. */
     private void catchUp() {
       for (int asked = 0; asked < 2; asked++) {
         Node other = nodes.get(random.nextInt(nodes.size()));
-        Quarantine life = quarantine;
+        Quarantine instance = quarantine;
         time.schedule(
             1_000 + random.nextInt((int) MAX_DELAY_MICROS),
             () -> {
-              if (other != this && quarantine == life && !cut && !other.cut && !other.down) {
-                life.told(other.quarantine.heaviest(64));
+              if (other != this
+                  && quarantine == instance
+                  && !isolated
+                  && !other.isolated
+                  && !other.down) {
+                instance.told(other.quarantine.heaviest(64));
               }
             });
       }
     }
 
-    boolean isInTouch(long nowMillis) {
+    boolean isUndisturbed(long nowMillis) {
       return nowMillis - Math.max(disturbedUntilMillis, storeDisturbedUntilMillis) > CONTACT_MILLIS;
     }
 
@@ -411,7 +440,7 @@
     void answered(Run run) {
       idle.computeIfAbsent(run.server.address, key -> new ArrayDeque<>())
           .add(run.connectedAtMillis);
-      Optional.ofNullable(servers.find(run.believed))
+      Optional.ofNullable(servers.find(run.assumed))
           .ifPresent(tracked -> lives.answered(tracked, run.connectedAtMillis, run.begunAtMillis));
     }
 
@@ -419,7 +448,7 @@
       if (reachesStore()) {
         servers =
             servers.with(
-                all.stream().filter(server -> server.onRecord).map(Server::record).toList());
+                all.stream().filter(server -> server.hasRecord).map(Server::record).toList());
       }
     }
 
@@ -535,7 +564,10 @@
     time.schedule(12_000 + random.nextInt(10_000), this::arrive);
   }
 
-  /** Some callers send several copies at the same moment, to different nodes. */
+  /**
+   * Sends a guilty request, in several copies at the same moment to different nodes if the plan
+   * says so, and schedules the next time.
+   */
   private void repeat(Contents guilty) {
     for (int copy = 0; copy < plan.copies(); copy++) {
       send(guilty, 0);
@@ -558,23 +590,23 @@
   }
 
   private void send(
-      Node node, Backend believed, Contents what, CallerRequest request, int triesLeft) {
+      Node node, Backend assumed, Contents what, CallerRequest request, int triesLeft) {
     Server server =
         all.stream()
-            .filter(each -> each.address.equals(believed.address()))
+            .filter(each -> each.address.equals(assumed.address()))
             .findFirst()
             .orElseThrow();
     if (server.up) {
       what.sent(node);
-      new Run(node, server, believed.id(), what, request, triesLeft);
+      new Run(node, server, assumed.id(), what, request, triesLeft);
       return;
     }
     node.avoid(server);
     if (plan.evidence().addressesTaken()) {
-      // Whoever takes connections for it closes them.
+      // Whatever accepts connections at its address closes them.
       node.quarantine.lost(
           new LostAttempt(
-              believed.id(),
+              assumed.id(),
               server.address,
               request,
               "tenant",
@@ -590,14 +622,17 @@
   private void tell(Node sender, List<Suspect> suspects) {
     for (Node receiver : nodes) {
       boolean arrives =
-          random.nextDouble() >= LOST_DATAGRAMS && !sender.cut && !receiver.cut && !receiver.down;
+          random.nextDouble() >= LOST_DATAGRAMS
+              && !sender.isolated
+              && !receiver.isolated
+              && !receiver.down;
       if (receiver != sender && arrives) {
-        Quarantine life = receiver.quarantine;
+        Quarantine instance = receiver.quarantine;
         time.schedule(
             1_000 + random.nextInt((int) MAX_DELAY_MICROS),
             () -> {
-              if (receiver.quarantine == life) {
-                life.told(suspects);
+              if (receiver.quarantine == instance) {
+                instance.told(suspects);
               }
             });
       }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulationTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulationTest.java
@@ -8,13 +8,16 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Guilty requests stop, and innocent ones are hardly ever refused, whatever else ends servers. */
+/**
+ * Tests that guilty requests are stopped and that innocent ones are hardly ever refused, whatever
+ * else crashes servers.
+ */
 public final class QuarantineSimulationTest {
 
-  /** A few seeds in CI; {@code -Dquarantine.seeds=200} by hand. */
+  /** Number of seeds; few by default, for CI. Set by {@code -Dquarantine.seeds}. */
   private static final int SEEDS = Integer.getInteger("quarantine.seeds", 10);
 
-  /** Sends after the third end that the deployments bear. */
+  /** Sends after the third crash that the deployments tolerate. */
   private static final int ALLOWED_LATE_SENDS = 3;
 
   @DataProvider
@@ -23,7 +26,7 @@
     Waves half = new Waves(0.5, 3_000, 3_000);
     Waves quick = new Waves(0.33, 2_000, 800);
     Waves flapping = new Waves(0.33, 400, 300);
-    Waves back = new Waves(0, 3_000, 2_000);
+    Waves restarting = new Waves(0, 3_000, 2_000);
     Evidence taken = new Evidence(true, false, 0);
     Evidence killed = new Evidence(false, true, 0);
     Evidence takenAndKilled = new Evidence(true, true, 0);
@@ -42,19 +45,19 @@
       {"all at once", new SimulationPlan(7, 2, 2, 3, third, true), 0.002},
       {"back within a second", new SimulationPlan(7, 2, 1, 3, quick, true), 0.01},
       {"twenty nodes", new SimulationPlan(20, 2, 3, 3, third, true), 0.002},
-      {"addresses taken", new SimulationPlan(7, 1, 1, 1, back, false, taken), 0.0},
-      {"witnesses killed", new SimulationPlan(7, 1, 1, 1, back, false, killed), 0.0},
-      {"both", new SimulationPlan(7, 1, 1, 1, back, false, takenAndKilled), 0.0},
-      {"both, three nodes", new SimulationPlan(3, 1, 1, 1, back, false, takenAndKilled), 0.0},
+      {"addresses taken", new SimulationPlan(7, 1, 1, 1, restarting, false, taken), 0.0},
+      {"witnesses killed", new SimulationPlan(7, 1, 1, 1, restarting, false, killed), 0.0},
+      {"both", new SimulationPlan(7, 1, 1, 1, restarting, false, takenAndKilled), 0.0},
+      {"both, three nodes", new SimulationPlan(3, 1, 1, 1, restarting, false, takenAndKilled), 0.0},
       {"both, disturbed", new SimulationPlan(20, 2, 2, 3, third, true, takenAndKilled), 0.002},
-      {"callers that leave", new SimulationPlan(7, 1, 1, 1, back, false, leaving), 0.0},
+      {"callers that leave", new SimulationPlan(7, 1, 1, 1, restarting, false, leaving), 0.0},
       {"they leave, all else", new SimulationPlan(7, 2, 2, 3, third, true, leavingAndMore), 0.002},
-      {"all nodes killed", new SimulationPlan(3, 1, 1, 1, back, false, allKilled), 0.002},
-      {"all killed, seven", new SimulationPlan(7, 1, 1, 1, back, false, allKilled), 0.002},
+      {"all nodes killed", new SimulationPlan(3, 1, 1, 1, restarting, false, allKilled), 0.002},
+      {"all killed, seven", new SimulationPlan(7, 1, 1, 1, restarting, false, allKilled), 0.002},
       {"all killed, waves", new SimulationPlan(7, 1, 1, 3, third, false, allKilled), 0.002},
-      {"few servers", new SimulationPlan(3, 3, 1, 1, 1, back, true, allKilled), 0.002},
-      {"few servers, calm", new SimulationPlan(3, 3, 1, 1, 1, back, false, allKilled), 0.002},
-      {"resets", new SimulationPlan(7, 1, 1, 3, back, false, resets), 0.002},
+      {"few servers", new SimulationPlan(3, 3, 1, 1, 1, restarting, true, allKilled), 0.002},
+      {"few servers, calm", new SimulationPlan(3, 3, 1, 1, 1, restarting, false, allKilled), 0.002},
+      {"resets", new SimulationPlan(7, 1, 1, 3, restarting, false, resets), 0.002},
       {"resets and waves", new SimulationPlan(7, 1, 1, 3, third, true, resets), 0.002},
     };
   }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineTest.java
@@ -25,13 +25,14 @@
 import org.testng.annotations.Test;
 
 /**
- * A request ended one server after the other, each of them with its other streams. Behind a proxy
- * the address of an ended server took connections, and on a loaded machine it closed them later
- * than a probe waits, so an end was known by the server's record alone, 2.4 to 6 s later, and to
- * one node until then. Each such node was killed in that time (of three nodes, at 0.1 to 4.3 s
- * after the connection had closed), and the next one knew nothing: four to six sends after the
- * third end, in 4 of 12 runs beside load. The logs of these nodes had {@code connection-lost
- * address=ACCEPTS} for each of the ends and no {@code backend-ended} before the process was gone.
+ * Tests that a request that crashes one server after another is quarantined although no node
+ * survives to confirm the crashes. Behind a proxy the address of a crashed server accepted
+ * connections, and on a loaded machine it closed them later than a probe waits, so a crash was
+ * known by the server's record alone, 2.4 to 6 s later, and to a single node until then. Each such
+ * node was killed in that time (of three nodes, 0.1 to 4.3 s after the connection had closed), and
+ * the next one knew nothing: the request was sent four to six times after the third crash, in 4 of
+ * 12 runs under load. The logs of these nodes contained {@code connection-lost address=ACCEPTS} for
+ * each of the crashes, and no {@code backend-ended} before the process was gone.
  */
 public final class QuarantineTest {
 
@@ -39,19 +40,19 @@
   private static final long SOON_MILLIS = 50;
   private static final long RECORD_MILLIS = LifeEvidence.RECORD_EXPIRY_MILLIS + 500;
 
-  private final List<Suspect> told = new ArrayList<>();
+  private final List<Suspect> broadcast = new ArrayList<>();
   private VirtualTime time;
   private BackendTable backends;
   private Section<Suspects> section;
   private Quarantine quarantine;
   private Reachability addresses;
   private boolean tableIsCurrent;
-  private long tableProvenAtMillis;
+  private long tableCurrentAtMillis;
 
   @BeforeMethod
   public void create() {
     time = new VirtualTime();
-    told.clear();
+    broadcast.clear();
     backends =
         BackendTable.EMPTY.with(
             IntStream.range(0, BACKENDS).mapToObj(QuarantineTest::backend).toList());
@@ -64,7 +65,7 @@
             address -> CompletableFuture.completedFuture(addresses),
             this::records,
             new EmptySuspectTable(),
-            told::addAll,
+            broadcast::addAll,
             () -> false,
             time);
     quarantine = new Quarantine(context, section, 3_600_000);
@@ -74,9 +75,9 @@
 
   private Snapshot<BackendTable> records() {
     if (tableIsCurrent) {
-      tableProvenAtMillis = time.monotonicMillis();
+      tableCurrentAtMillis = time.monotonicMillis();
     }
-    return new Snapshot<>(backends, 0, tableProvenAtMillis);
+    return new Snapshot<>(backends, 0, tableCurrentAtMillis);
   }
 
   private static Backend backend(int number) {
@@ -107,112 +108,118 @@
     time.runMillis(SOON_MILLIS);
   }
 
-  private boolean isHeld() {
+  private boolean isQuarantined() {
     return quarantine.held(request(), "tenant").isPresent();
   }
 
   @Test
-  public void closedConnectionsAtThreeBackendsHoldARequestBackBeforeItIsKnownWhetherTheyEnded() {
+  public void closedConnectionsToThreeBackendsQuarantineARequestBeforeTheirCrashesAreConfirmed() {
     loseAtThree(LostAttempt.Loss.CLOSED);
-    assertTrue(isHeld());
+    assertTrue(isQuarantined());
   }
 
-  /** The next node to decide must know what this one saw, whatever becomes of it. */
+  /** The next node that decides must know what this one observed, whatever becomes of this one. */
   @Test
-  public void aClosedConnectionIsToldToOtherNodesAtOnce() {
+  public void aClosedConnectionIsBroadcastAtOnce() {
     lose(0, LostAttempt.Loss.CLOSED);
     time.runMillis(15);
-    assertEquals(told.size(), 1);
-    assertEquals(told.get(0).weight(), 3);
+    assertEquals(broadcast.size(), 1);
+    assertEquals(broadcast.get(0).weight(), 3);
   }
 
   @Test
-  public void backendsThatAnswerAgainSpeakAgainstItNoMore() {
+  public void crashesOfBackendsThatAnswerAgainAreRetracted() {
     loseAtThree(LostAttempt.Loss.CLOSED);
     backends.find(idOf(1)).answered(time.monotonicMillis() + 1);
     time.runMillis(500);
-    assertFalse(isHeld());
+    assertFalse(isQuarantined());
   }
 
   /**
-   * A server that has all the connections it takes closes further ones at once, as a proxy does
-   * before a process that is gone; its requests must not be refused for long.
+   * A server that has reached its connection limit closes further connections at once, as a proxy
+   * does in front of a crashed process; its requests must not be refused for long.
    */
   @Test
   public void recordsThatStandShowThatServersWhichCloseConnectionsLive() {
     addresses = Reachability.CLOSES;
     loseAtThree(LostAttempt.Loss.CLOSED);
-    assertTrue(isHeld());
+    assertTrue(isQuarantined());
     time.runMillis(RECORD_MILLIS);
-    assertFalse(isHeld());
+    assertFalse(isQuarantined());
   }
 
-  /** While the store is away, the records of ended servers stand for ever. */
+  /** While the store is unavailable, the records of crashed servers don't expire. */
   @Test
   public void recordsThatMayBeOutOfDateShowNothing() {
     loseAtThree(LostAttempt.Loss.CLOSED);
     tableIsCurrent = false;
     time.runMillis(5 * RECORD_MILLIS);
-    assertTrue(isHeld());
+    assertTrue(isQuarantined());
     tableIsCurrent = true;
     time.runMillis(RECORD_MILLIS / 2);
-    assertTrue(isHeld(), "a table that was just read may still lack what lapsed meanwhile");
+    assertTrue(
+        isQuarantined(),
+        "a table that was just read may still contain records that have expired since");
     time.runMillis(RECORD_MILLIS);
-    assertFalse(isHeld());
+    assertFalse(isQuarantined());
   }
 
   @Test
-  public void endsThatTheRecordsShowStayCounted() {
+  public void crashesThatTheRecordsShowStayCounted() {
     loseAtThree(LostAttempt.Loss.CLOSED);
     backends = backends.with(List.of(backend(3)));
     time.runMillis(5 * RECORD_MILLIS);
-    assertTrue(isHeld());
+    assertTrue(isQuarantined());
   }
 
-  /** A connection broke first and the server ended later, of the same request's next try. */
+  /**
+   * A connection broke first, and the server crashed later, under the next try of the same request.
+   */
   @Test
-  public void anEndThatCameAfterTheLifeWasLastSeenStaysCounted() {
+  public void aCrashAfterTheBackendWasLastKnownAliveStaysCounted() {
     lose(0, LostAttempt.Loss.CLOSED);
     time.runMillis(LifeEvidence.RECORD_EXPIRY_MILLIS - 2_000);
     loseAtThree(LostAttempt.Loss.CLOSED);
     time.runMillis(4_000);
-    assertTrue(isHeld(), "the records show only that the first loss was no end");
+    assertTrue(isQuarantined(), "the records show only that the first loss was no crash");
   }
 
-  /** Engines that are overloaded are silent for seconds, and answer nobody sooner. */
+  /** Overloaded engines are silent for seconds, and answer no request sooner. */
   @Test
-  public void silenceAtThreeBackendsHoldsNothingBack() {
+  public void silenceOfThreeBackendsQuarantinesNothing() {
     loseAtThree(LostAttempt.Loss.SILENT);
-    assertFalse(isHeld());
+    assertFalse(isQuarantined());
   }
 
-  /** Callers that leave early let nobody see what their requests do. */
+  /** If callers leave early, no node observes the outcome of their requests. */
   @Test
-  public void whatIsGivenUpAtThreeBackendsBeforeTheirRecordsAreGoneIsHeldBack() {
+  public void aRequestGivenUpOnThreeBackendsBeforeTheirRecordsAreGoneIsQuarantined() {
     loseAtThree(LostAttempt.Loss.GIVEN_UP);
-    assertFalse(isHeld());
+    assertFalse(isQuarantined());
     backends = backends.with(List.of(backend(3)));
     time.runMillis(500);
-    assertTrue(isHeld());
+    assertTrue(isQuarantined());
   }
 
   @Test
-  public void whatIsGivenUpAtBackendsThatGoOnIsNeverHeldBack() {
+  public void aRequestGivenUpOnBackendsThatStayAliveIsNeverQuarantined() {
     loseAtThree(LostAttempt.Loss.GIVEN_UP);
     time.runMillis(5 * RECORD_MILLIS);
     backends = backends.with(List.of(backend(3)));
     time.runMillis(500);
-    assertFalse(isHeld());
+    assertFalse(isQuarantined());
   }
 
   /**
-   * A server started again under its id, and a node that had not read its new record sent the
-   * request to the former life. It ran at the next one and ended that as well; the end was taken
-   * for that of the former life, so two ends counted as one, stood in no row, and were forgotten
-   * when all nodes were killed 1.3 s later. The answer had been coming for 104 ms when the end was
-   * seen, 2.9 s after the connections of the former life had closed.
+   * A server restarted under its id, and a node that had not read its new record sent the request
+   * to the previous incarnation. It ran on the next one and crashed that as well; the crash was
+   * taken for that of the previous incarnation, so two crashes counted as one, were in no row, and
+   * were forgotten when all nodes were killed 1.3 s later. The answer had been arriving for 104 ms
+   * when the crash was observed, 2.9 s after the connections of the previous incarnation had
+   * closed.
    *
-   * <p>The cause: an attempt counted at the life that its node had meant, whichever life ran it.
+   * <p>The cause: an attempt counted against the incarnation that its node had meant, whichever
+   * incarnation ran it.
    */
   @Test
   public void whatRanAtTheNextLifeIsNoPartOfTheFormerOnesEnd() {
@@ -225,7 +232,7 @@
         new LostAttempt(
             idOf(0), addressOf(0), request(), "tenant", 104, LostAttempt.Loss.SILENT, 0));
     time.runMillis(SOON_MILLIS);
-    assertEquals(toldEnds(), Set.of(idOf(0), next));
+    assertEquals(broadcastCrashes(), Set.of(idOf(0), next));
   }
 
   private void loseOverConnectionOf(long connectedAtMillis) {
@@ -241,34 +248,38 @@
     time.runMillis(SOON_MILLIS);
   }
 
-  private Set<String> toldEnds() {
-    Set<String> ends = new TreeSet<>();
-    told.forEach(suspect -> ends.addAll(suspect.ends().keySet()));
-    return ends;
+  private Set<String> broadcastCrashes() {
+    Set<String> crashes = new TreeSet<>();
+    broadcast.forEach(suspect -> crashes.addAll(suspect.ends().keySet()));
+    return crashes;
   }
 
   /**
-   * The next life ended of a request before its record was read and before it answered anything.
+   * The request crashed the next incarnation before its record was read and before it answered
+   * anything.
    */
   @Test
-  public void anEndOfTheNextLifeBeforeItsRecordIsReadIsNoPartOfTheFormerOnesEnd() {
+  public void aCrashOfTheNextIncarnationBeforeItsRecordIsReadIsNoPartOfThePreviousCrash() {
     addresses = Reachability.REFUSES;
     lose(0, LostAttempt.Loss.CLOSED);
     time.runMillis(1_000);
     long startedAt = time.wallMillis();
     time.runMillis(500);
     loseOverConnectionOf(time.monotonicMillis() - 50);
-    assertEquals(toldEnds(), Set.of(idOf(0)));
+    assertEquals(broadcastCrashes(), Set.of(idOf(0)));
     String next = "i-0@" + startedAt;
     backends =
         backends.with(List.of(new Backend(next, "pool", addressOf(0), "zone", 4, false, Map.of())));
     time.runMillis(500);
-    assertEquals(toldEnds(), Set.of(idOf(0), next));
+    assertEquals(broadcastCrashes(), Set.of(idOf(0), next));
   }
 
-  /** Nothing had closed here when the former life ended; its next one ended of the request. */
+  /**
+   * No connection had closed on this node when the previous incarnation crashed; the request
+   * crashed the next one.
+   */
   @Test
-  public void anEndOverAConnectionThatIsYoungerThanTheNextLifeIsThatOnes() {
+  public void aLossOverAConnectionYoungerThanTheNextIncarnationCountsAgainstThatOne() {
     lose(0, LostAttempt.Loss.SILENT);
     time.runMillis(1_000);
     String next = "i-0@" + time.wallMillis();
@@ -276,12 +287,12 @@
     backends =
         backends.with(List.of(new Backend(next, "pool", addressOf(0), "zone", 4, false, Map.of())));
     loseOverConnectionOf(time.monotonicMillis() - 100);
-    assertEquals(toldEnds(), Set.of(idOf(0), next));
+    assertEquals(broadcastCrashes(), Set.of(idOf(0), next));
   }
 
-  /** A proxy takes connections for a server that has ended, and closes them. */
+  /** A proxy accepts connections for a crashed server, and closes them. */
   @Test
-  public void whatReachedNobodyIsNoEndOfALifeThatStartedLater() {
+  public void anAttemptThatReachedNoServerIsNoCrashOfALaterIncarnation() {
     addresses = Reachability.REFUSES;
     lose(0, LostAttempt.Loss.CLOSED);
     time.runMillis(1_000);
@@ -291,6 +302,6 @@
     backends =
         backends.with(List.of(new Backend(next, "pool", addressOf(0), "zone", 4, false, Map.of())));
     time.runMillis(500);
-    assertEquals(toldEnds(), Set.of(idOf(0)));
+    assertEquals(broadcastCrashes(), Set.of(idOf(0)));
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/RequestFingerprintTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/RequestFingerprintTest.java
@@ -6,7 +6,7 @@
 
 import org.testng.annotations.Test;
 
-/** What makes two tries the same request. */
+/** Tests which tries count as the same request. */
 public final class RequestFingerprintTest {
 
   private static RequestFingerprint of(String id, String uri, String body, String caller) {
@@ -30,7 +30,7 @@
   }
 
   @Test
-  public void whatStandsBeforeABoundaryIsNotTakenForWhatStandsBehindIt() {
+  public void fieldsAreDelimitedInTheDigest() {
     assertNotEquals(of("r1", "/ab", "c", "t"), of("r1", "/a", "c", "bt"));
     assertNotEquals(of("r1", "/a", "tc", ""), of("r1", "/a", "c", "t"));
   }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/Requests.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/Requests.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.lockdale.gateway.caller.CallerRequest;
 
-/** Requests for tests. */
+/** Creates requests for tests. */
 final class Requests {
 
   private Requests() {}
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/SimulationPlan.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/SimulationPlan.java
@@ -1,16 +1,16 @@
 package org.lockdale.gateway.quarantine;
 
 /**
- * What a run of {@link QuarantineSimulation} is about.
+ * The parameters of a run of {@link QuarantineSimulation}.
  *
  * @param nodes number of nodes
  * @param servers number of servers
- * @param guilty number of requests that end servers
- * @param copies how many of each come in the same moment
- * @param repeats how often the caller of an innocent request repeats it at once
- * @param waves servers that end by themselves
- * @param disturbed whether nodes start again, are cut off, and the table is away
- * @param evidence how the ends of servers show
+ * @param guilty number of requests that crash servers
+ * @param copies number of copies of each guilty request that are sent at the same moment
+ * @param repeats number of times that the caller of an innocent request repeats it at once
+ * @param waves crashes of servers that no request causes
+ * @param disturbed whether nodes restart and are isolated, and the store is unavailable at times
+ * @param evidence how crashes become visible
  */
 record SimulationPlan(
     int nodes,
@@ -40,18 +40,18 @@
   }
 
   /**
-   * How the ends of servers show, and what looks like them.
+   * How crashes of servers become visible, and what resembles them.
    *
-   * @param addressesTaken whether something else takes connections at the addresses of ended
-   *     servers, so that their records alone tell
-   * @param witnessesKilled whether each node that had requests at a server is killed within 50 ms
-   *     of its end
+   * @param addressesTaken whether something else accepts connections at the addresses of crashed
+   *     servers, so that only their records show the crashes
+   * @param witnessesKilled whether each node that had requests on a server is killed within 50 ms
+   *     of its crash
    * @param resets share of the running requests whose connections break each second while their
-   *     servers live
-   * @param callersLeave share of the callers that leave before their answer, of guilty requests a
-   *     moment before the end
-   * @param allKilled share of the ends after which all nodes are killed within half a second; nodes
-   *     are loaded then and read up to 0.9 s late that connections closed
+   *     servers are alive
+   * @param callersLeave share of the callers that leave before their answer, for guilty requests
+   *     shortly before the crash
+   * @param allKilled share of the crashes after which all nodes are killed within half a second;
+   *     nodes are loaded then and read up to 0.9 s late that connections closed
    */
   record Evidence(
       boolean addressesTaken,
@@ -67,11 +67,11 @@
   }
 
   /**
-   * Servers that end by themselves.
+   * Waves of crashes that no request causes.
    *
-   * @param share share of the servers that end together
+   * @param share share of the servers that crash together
    * @param gapMillis mean time between two waves
-   * @param restartMillis time until a server is back, whatever ended it
+   * @param restartMillis time until a server has restarted, whatever crashed it
    */
   record Waves(double share, int gapMillis, int restartMillis) {
     static final Waves NONE = new Waves(0, 3_000, 3_000);
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectRecorderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectRecorderTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Who records a suspect, when, and when its row goes. */
+/** Tests which node records a suspect, when, and when its row is removed. */
 public final class SuspectRecorderTest {
 
   private static final long HOLD_MILLIS = 60_000;
@@ -20,11 +20,11 @@
   private final class Rows extends EmptySuspectTable {
     private final List<Suspect> written = new ArrayList<>();
     private final List<RequestFingerprint> removed = new ArrayList<>();
-    private boolean away;
+    private boolean unavailable;
 
     @Override
     public CompletableFuture<Void> record(Suspect suspect) {
-      if (away) {
+      if (unavailable) {
         return CompletableFuture.failedFuture(new IllegalStateException("away"));
       }
       written.add(suspect);
@@ -54,11 +54,11 @@
   }
 
   private static Suspect suspect(int number, String... backends) {
-    Map<String, SuspectEnd> ends = new HashMap<>();
+    Map<String, SuspectEnd> crashes = new HashMap<>();
     for (String backend : backends) {
-      ends.put(backend, new SuspectEnd(true, false));
+      crashes.put(backend, new SuspectEnd(true, false));
     }
-    return new Suspect(new RequestFingerprint(number, number), number, ends);
+    return new Suspect(new RequestFingerprint(number, number), number, crashes);
   }
 
   private void learn(Suspect suspect) {
@@ -73,18 +73,18 @@
   }
 
   @Test
-  public void whoSawTheSecondEndRecordsItAtOnce() {
+  public void theNodeThatObservedTheSecondCrashRecordsItAtOnce() {
     learn(suspect(1, "a", "b"));
     recorder.markSeenLocally(new RequestFingerprint(1, 1));
     recorder.tick();
     assertEquals(rows.written, List.of(suspect(1, "a", "b")));
     tickFor(2_000);
-    assertEquals(rows.written.size(), 1, "once");
+    assertEquals(rows.written.size(), 1, "written once");
   }
 
-  /** All nodes were killed between the first end of a request and its second. */
+  /** All nodes were killed between the first crash under a request and its second. */
   @Test
-  public void aFirstEndIsRecordedAtOnceSoThatItOutlivesAllNodes() {
+  public void aFirstCrashIsRecordedAtOnceSoThatItOutlivesAllNodes() {
     learn(suspect(1, "a"));
     recorder.markSeenLocally(new RequestFingerprint(1, 1));
     recorder.tick();
@@ -92,7 +92,7 @@
   }
 
   @Test
-  public void anEndOfAnAnswerThatHadRunForLongIsNotRecordedAlone() {
+  public void aSingleCrashUnderALongRunningAnswerIsNotRecorded() {
     Map<String, SuspectEnd> late = Map.of("a", new SuspectEnd(false, false));
     learn(new Suspect(new RequestFingerprint(1, 1), 1, late));
     recorder.markSeenLocally(new RequestFingerprint(1, 1));
@@ -101,7 +101,7 @@
   }
 
   @Test
-  public void aRowOfAFirstEndGoesAfterAWhileAndIsNotWrittenAgain() {
+  public void aRowWithASingleCrashIsRemovedAfterAWhileAndNotWrittenAgain() {
     coordinator = true;
     learn(suspect(1, "a"));
     recorder.markSeenLocally(new RequestFingerprint(1, 1));
@@ -113,7 +113,7 @@
   }
 
   @Test
-  public void aFirstEndThatIsTakenBackCostsNoSecondWrite() {
+  public void aRetractedSingleCrashCostsNoSecondWrite() {
     coordinator = true;
     learn(suspect(1, "a"));
     recorder.markSeenLocally(new RequestFingerprint(1, 1));
@@ -125,7 +125,7 @@
   }
 
   @Test
-  public void rowsOfFirstEndsAreFewAndLeaveRoomForSecondOnes() {
+  public void rowsWithASingleCrashAreFewAndLeaveRoomForOthers() {
     for (int number = 0; number < 200; number++) {
       learn(suspect(number, "a"));
       recorder.markSeenLocally(new RequestFingerprint(number, number));
@@ -135,11 +135,11 @@
     learn(suspect(777, "a", "b"));
     recorder.markSeenLocally(new RequestFingerprint(777, 777));
     recorder.tick();
-    assertEquals(rows.written.size(), 33, "one with two ends is recorded all the same");
+    assertEquals(rows.written.size(), 33, "one with two crashes is recorded nevertheless");
   }
 
   @Test
-  public void theCoordinatorRecordsWhatItsWitnessDoesNot() {
+  public void theCoordinatorRecordsWhatTheObservingNodeDoesNot() {
     coordinator = true;
     learn(suspect(1, "a", "b"));
     tickFor(400);
@@ -158,7 +158,7 @@
   }
 
   @Test
-  public void whatIsOnRecordIsNotWrittenAgain() {
+  public void aRowThatContainsEverythingIsNotWrittenAgain() {
     learn(suspect(1, "a", "b"));
     recorder.update(List.of(suspect(1, "a", "b", "c")));
     tickFor(2_000);
@@ -166,7 +166,7 @@
   }
 
   @Test
-  public void aRowThatSaysLessIsWrittenAgain() {
+  public void aRowThatContainsLessIsWrittenAgain() {
     learn(suspect(1, "a", "b"));
     recorder.markSeenLocally(new RequestFingerprint(1, 1));
     recorder.update(List.of(suspect(1, "b", "c")));
@@ -177,11 +177,11 @@
 
   @Test
   public void aStoreThatIsBackIsWrittenToSoon() {
-    rows.away = true;
+    rows.unavailable = true;
     learn(suspect(1, "a", "b"));
     recorder.markSeenLocally(new RequestFingerprint(1, 1));
     tickFor(5_000);
-    rows.away = false;
+    rows.unavailable = false;
     tickFor(600);
     assertEquals(rows.written.size(), 1);
   }
@@ -208,7 +208,7 @@
   }
 
   @Test
-  public void rowsOfRequestsThatAreNotHeldBackAreFew() {
+  public void rowsOfRequestsThatAreNotQuarantinedAreFew() {
     for (int number = 0; number < 200; number++) {
       learn(suspect(number, "a", "b"));
       recorder.markSeenLocally(new RequestFingerprint(number, number));
@@ -218,6 +218,6 @@
     learn(suspect(777, "a", "b", "c"));
     recorder.markSeenLocally(new RequestFingerprint(777, 777));
     recorder.tick();
-    assertEquals(rows.written.size(), 33, "one that is held back is recorded all the same");
+    assertEquals(rows.written.size(), 33, "one that is quarantined is recorded nevertheless");
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/VirtualExecutor.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/VirtualExecutor.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import org.lockdale.coordination.simulation.VirtualTime;
 
-/** An event loop of a simulated node, under simulated time. */
+/** An event loop of a simulated node, in simulated time. */
 public class VirtualExecutor extends AbstractExecutorService implements ScheduledExecutorService {
 
   private final VirtualTime time;
@@ -23,7 +23,7 @@
     after(0, task);
   }
 
-  /** Runs a task after a time, unless the node has ended by then. */
+  /** Runs a task after a delay in microseconds, unless the executor has been stopped by then. */
   protected void after(long micros, Runnable task) {
     time.schedule(
         micros,
