--- a/gateway/src/main/java/org/lockdale/gateway/life/LifeOrder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/life/LifeOrder.java
@@ -9,28 +9,32 @@
 import org.lockdale.gateway.backend.Backend;
 
 /**
- * Decides which life of a server its record may speak for. A write of a former life may be carried
- * out seconds late, after the first of the next one; believed, it would bring back a back end that
- * is gone and drop all that was learned of the one that serves. So a record that tells an earlier
- * start changes nothing, with two exceptions, since a server's clock may have been set back between
- * two lives: the later life is known to be over, or the record has stood for longer than the server
- * takes to write again. A state machine without I/O; not safe for use by several threads.
+ * Decides which incarnation of a server to go on with when its record changes. A write of an
+ * earlier incarnation may take effect seconds late, after the first write of the next one; if it
+ * were accepted, it would restore a backend that is gone and discard what is known of the one that
+ * serves. So a record with an earlier start time changes nothing, with two exceptions, since the
+ * clock of a server may have been set back between two incarnations: the later incarnation is known
+ * to be over, or the record has existed for longer than the server takes to write again. A state
+ * machine without I/O; not safe for use by several threads.
  */
 public final class LifeOrder {
 
-  /** Servers write their records each 1.2 s; one write may be lost. */
+  /**
+   * Time in milliseconds after which a record with an earlier start time is accepted. Servers write
+   * their records every 1.2 s, and one write may be lost.
+   */
   static final long STALE_RECORD_MILLIS = 3_000;
 
   private static final long NEVER = Long.MAX_VALUE;
 
-  private final Map<String, Backend> relied = new HashMap<>();
-  private final Map<String, Long> earlierSince = new HashMap<>();
+  private final Map<String, Backend> accepted = new HashMap<>();
+  private final Map<String, Long> earlierRecordSince = new HashMap<>();
 
   /**
-   * Returns the records to go on with.
+   * Returns the records to use.
    *
-   * @param read records as read now, one a server
-   * @param isOver whether a life is known to be over
+   * @param read records as read now, one per server
+   * @param isOver whether an incarnation is known to be over
    * @param nowMillis monotonic time
    */
   public List<Backend> order(Collection<Backend> read, Predicate<Backend> isOver, long nowMillis) {
@@ -39,31 +43,34 @@
       String server = record.incarnation().server();
       next.put(server, choose(server, record, isOver, nowMillis));
     }
-    relied.clear();
-    relied.putAll(next);
-    earlierSince.keySet().retainAll(next.keySet());
+    accepted.clear();
+    accepted.putAll(next);
+    earlierRecordSince.keySet().retainAll(next.keySet());
     return new ArrayList<>(next.values());
   }
 
   private Backend choose(String server, Backend record, Predicate<Backend> isOver, long nowMillis) {
-    Backend known = relied.get(server);
+    Backend known = accepted.get(server);
     boolean earlier = known != null && record.incarnation().isBefore(known.incarnation());
     if (!earlier || isOver.test(known)) {
-      earlierSince.remove(server);
+      earlierRecordSince.remove(server);
       return record;
     }
-    long since = earlierSince.computeIfAbsent(server, first -> nowMillis);
+    long since = earlierRecordSince.computeIfAbsent(server, first -> nowMillis);
     if (nowMillis - since < STALE_RECORD_MILLIS) {
       return known;
     }
-    earlierSince.remove(server);
+    earlierRecordSince.remove(server);
     return record;
   }
 
-  /** Returns the monotonic time at which to decide again, or {@link Long#MAX_VALUE} for none. */
+  /**
+   * Returns the monotonic time at which to decide again, or {@link Long#MAX_VALUE} if no decision
+   * is pending.
+   */
   public long decidesAtMillis() {
     long earliest = NEVER;
-    for (long since : earlierSince.values()) {
+    for (long since : earlierRecordSince.values()) {
       earliest = Math.min(earliest, since + STALE_RECORD_MILLIS);
     }
     return earliest;
--- a/gateway/src/main/java/org/lockdale/gateway/life/LifeWatch.java
+++ b/gateway/src/main/java/org/lockdale/gateway/life/LifeWatch.java
@@ -17,124 +17,135 @@
 import org.tinylog.Logger;
 
 /**
- * Finds out from answers that a life of a back end is over, and lets all nodes know. The record of
- * a back end that crashed stands for seconds; while its address is in use again, each request sent
- * there costs a round trip and is turned away.
+ * Detects from answers that an incarnation of a backend is over, and notifies all nodes. The record
+ * of a crashed backend exists for seconds; while its address is in use again, each request sent
+ * there costs a round trip and is rejected.
  *
- * <p>That a request was not meant for whoever answered is proof where only the instance was asked
- * for. Where weights were asked for as well, they may be the reason, so the engine is asked for its
- * state, which tells its start and its weights. Runs on one event loop; answers may be told from
- * any thread.
+ * <p>A rejection of a request as meant for another server proves this if the request only required
+ * the instance. If it also required a version of weights, that may be the reason, so the engine is
+ * queried for its state, which contains its start time and its weights. Runs on one event loop;
+ * rejections may be reported from any thread.
  */
 public final class LifeWatch {
 
   /**
-   * An engine's state is as it stood some hundred milliseconds ago, so to ask again sooner tells
-   * nothing new; each question is priced as a probe.
+   * Least time in milliseconds between two queries of an engine. Its state is some hundred
+   * milliseconds old, so an earlier query would return nothing new; each query costs as much as a
+   * probe.
    */
-  private static final long ASK_AGAIN_MILLIS = 500;
+  private static final long QUERY_INTERVAL_MILLIS = 500;
 
-  /** Engines whose last question is remembered; a wave of crashes takes some twenty at once. */
-  private static final int MAX_ASKED = 256;
+  /**
+   * Greatest number of engines whose last query is remembered; a wave of crashes affects about
+   * twenty at once.
+   */
+  private static final int MAX_REMEMBERED_QUERIES = 256;
 
   private final ScheduledExecutorService eventLoop;
   private final EngineControl engines;
   private final Supplier<BackendTable> backends;
-  private final Consumer<String> tellOthers;
+  private final Consumer<String> notifyOthers;
   private final Time time;
-  private final Map<String, Long> askedAtMillis = new HashMap<>();
+  private final Map<String, Long> queriedAtMillis = new HashMap<>();
 
   /**
-   * Creates a watch.
+   * Creates a monitor.
    *
    * @param eventLoop runs it
-   * @param engines asks engines for their state
-   * @param backends back ends on record
-   * @param tellOthers tells all other nodes that a life is over, by its text form
+   * @param engines queries engines for their state
+   * @param backends backends that have a record
+   * @param notifyOthers notifies all other nodes that an incarnation is over, by its text form
    * @param time clock
    */
   public LifeWatch(
       ScheduledExecutorService eventLoop,
       EngineControl engines,
       Supplier<BackendTable> backends,
-      Consumer<String> tellOthers,
+      Consumer<String> notifyOthers,
       Time time) {
     this.eventLoop = eventLoop;
     this.engines = engines;
     this.backends = backends;
-    this.tellOthers = tellOthers;
+    this.notifyOthers = notifyOthers;
     this.time = time;
   }
 
   /**
-   * Takes in that a request was turned away as not meant for who answered; from any thread.
+   * Reports that a request was rejected as not meant for the server that answered; from any thread.
    *
-   * @param target back end that was meant
-   * @param weights weights that were asked for as well, or null where only the instance was
-   * @param model model of the request, or null for none
+   * @param target backend that was meant
+   * @param model model of the request, or null if it has none
+   * @param weights version of weights that was also required, or null if only the instance was
    */
   public void misdirected(TrackedBackend target, @Nullable String model, @Nullable Long weights) {
     eventLoop.execute(
         () -> {
           if (model == null || weights == null) {
-            over(target, "misdirected");
+            markOver(target, "misdirected");
           } else {
-            ask(target, model);
+            queryState(target, model);
           }
         });
   }
 
-  /** Takes in that another life answers in place of a back end; on the event loop. */
+  /**
+   * Reports that another incarnation answers in place of a backend; to be called on the event loop.
+   */
   public void replaced(TrackedBackend target) {
-    over(target, "replaced");
+    markOver(target, "replaced");
   }
 
-  private void ask(TrackedBackend target, String model) {
+  private void queryState(TrackedBackend target, String model) {
     long now = time.monotonicMillis();
     String id = target.backend().id();
-    Long before = askedAtMillis.get(id);
-    if (target.isOver() || before != null && now - before < ASK_AGAIN_MILLIS) {
+    Long before = queriedAtMillis.get(id);
+    if (target.isOver() || before != null && now - before < QUERY_INTERVAL_MILLIS) {
       return;
     }
-    if (askedAtMillis.size() >= MAX_ASKED) {
-      askedAtMillis.values().removeIf(at -> now - at >= ASK_AGAIN_MILLIS);
+    if (queriedAtMillis.size() >= MAX_REMEMBERED_QUERIES) {
+      queriedAtMillis.values().removeIf(at -> now - at >= QUERY_INTERVAL_MILLIS);
     }
-    askedAtMillis.put(id, now);
+    queriedAtMillis.put(id, now);
     engines
         .state(target.backend())
-        .whenCompleteAsync((state, failure) -> told(target, model, state, failure), eventLoop);
+        .whenCompleteAsync(
+            (state, failure) -> handleState(target, model, state, failure), eventLoop);
   }
 
-  private void told(
+  private void handleState(
       TrackedBackend target,
       String model,
       @Nullable EngineState state,
       @Nullable Throwable failure) {
     if (failure != null && Failures.causeOf(failure) instanceof ReplacedEngineException) {
-      over(target, "replaced");
+      markOver(target, "replaced");
     } else if (state != null && !state.isOf(target.backend())) {
-      over(target, "another-start");
+      markOver(target, "another-start");
     } else if (state != null && state.weights().containsKey(model)) {
       target.correctWeights(model, state.weights().get(model));
     }
   }
 
-  private void over(TrackedBackend target, String evidence) {
+  private void markOver(TrackedBackend target, String evidence) {
     if (target.end()) {
       String id = target.backend().id();
       Logger.info("event=life-over backend={} evidence={}", id, evidence);
-      tellOthers.accept(id);
+      notifyOthers.accept(id);
     }
   }
 
-  /** Takes in what another node found out; on the event loop. */
-  public void told(List<String> lives) {
+  /**
+   * Processes incarnations that another node reports to be over, by their text forms; to be called
+   * on the event loop.
+   */
+  public void told(List<String> incarnations) {
     BackendTable table = backends.get();
-    for (String life : lives) {
-      // Names without a start mean whichever life is present, so they prove nothing of this one.
-      TrackedBackend tracked = table.find(life);
+    for (String incarnation : incarnations) {
+      // An id without a start time means whichever incarnation is present, so it proves nothing
+      // about this one.
+      TrackedBackend tracked = table.find(incarnation);
       if (tracked != null && tracked.end()) {
-        Logger.info("event=life-over backend={} evidence=told", life);
+        Logger.info("event=life-over backend={} evidence=told", incarnation);
       }
     }
   }
--- a/gateway/src/main/java/org/lockdale/gateway/life/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/life/package-info.java
@@ -1,4 +1,6 @@
-/** Lives of back ends: which one a record speaks for, and how their ends are known to all nodes. */
+/**
+ * Incarnations of backends: which one a record refers to, and how all nodes learn that one is over.
+ */
 @NullMarked
 package org.lockdale.gateway.life;
 
--- a/gateway/src/test/java/org/lockdale/gateway/life/IncarnationMonitorTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationMonitorTest.java
@@ -24,9 +24,9 @@
 import org.testng.annotations.Test;
 
 /**
- * A back end crashed behind a cut and its address was in use again; for two seconds seven nodes
- * sent some 20 requests to its record and were told each time that it was not meant. The first such
- * answer shows that this life is over.
+ * Tests that the first rejected request shows that an incarnation is over. A backend crashed while
+ * it was unreachable, and its address was in use again: for two seconds seven nodes sent about 20
+ * requests to its record, each of which was rejected as meant for another server.
  */
 public final class IncarnationMonitorTest {
 
@@ -35,15 +35,15 @@
   private final VirtualTime time = new VirtualTime();
   private BackendTable table;
   private TrackedBackend target;
-  private List<String> told;
+  private List<String> notified;
   private CompletableFuture<EngineState> state;
-  private int questions;
-  private LifeWatch watch;
+  private int queries;
+  private LifeWatch monitor;
 
   private final class Engine implements EngineControl {
     @Override
     public CompletableFuture<EngineState> state(Backend engine) {
-      questions++;
+      queries++;
       return state;
     }
 
@@ -60,14 +60,15 @@
         BackendTable.EMPTY.with(
             List.of(new Backend("i-1@7", "pool", address, "zone", 4, false, Map.of(MODEL, 5L))));
     target = table.find("i-1@7");
-    told = new ArrayList<>();
-    questions = 0;
+    notified = new ArrayList<>();
+    queries = 0;
     state = new CompletableFuture<>();
-    watch = new LifeWatch(new VirtualExecutor(time), new Engine(), () -> table, told::add, time);
+    monitor =
+        new LifeWatch(new VirtualExecutor(time), new Engine(), () -> table, notified::add, time);
   }
 
   private void misdirected(Long weights) {
-    watch.misdirected(target, MODEL, weights);
+    monitor.misdirected(target, MODEL, weights);
     time.runMillis(1);
   }
 
@@ -76,7 +77,7 @@
     time.runMillis(1);
   }
 
-  private static EngineState tells(Long start, long version) {
+  private static EngineState stateOf(Long start, long version) {
     return new EngineState(Incarnation.of("i-1", start), Map.of(MODEL, version), false, 0);
   }
 
@@ -84,18 +85,18 @@
   public void aRequestForTheInstanceAloneThatWasNotMeantShowsTheEnd() {
     misdirected(null);
     assertTrue(target.isOver());
-    assertEquals(told, List.of("i-1@7"));
+    assertEquals(notified, List.of("i-1@7"));
     misdirected(null);
-    assertEquals(told.size(), 1, "all nodes are told once");
+    assertEquals(notified.size(), 1, "all nodes are notified once");
   }
 
   @Test
   public void whereWeightsWereAskedForTheEngineTellsWhichItWas() {
     misdirected(5L);
     assertFalse(target.isOver(), "the weights may be the reason");
-    answers(tells(8L, 5));
+    answers(stateOf(8L, 5));
     assertTrue(target.isOver());
-    assertEquals(told, List.of("i-1@7"));
+    assertEquals(notified, List.of("i-1@7"));
   }
 
   @Test
@@ -110,7 +111,7 @@
   public void anEngineThatWasTakenBackToOlderWeightsIsBelieved() {
     target.observeWeights(MODEL, 6);
     misdirected(6L);
-    answers(tells(7L, 4));
+    answers(stateOf(7L, 4));
     assertFalse(target.isOver());
     assertEquals(target.weightsOf(MODEL), Long.valueOf(4));
     target.observeWeights(MODEL, 6);
@@ -130,22 +131,22 @@
     for (int request = 0; request < 20; request++) {
       misdirected(5L);
     }
-    assertEquals(questions, 1);
+    assertEquals(queries, 1);
     time.runMillis(500);
     misdirected(5L);
-    assertEquals(questions, 2);
+    assertEquals(queries, 2);
   }
 
   @Test
   public void whatOtherNodesFoundOutHoldsForThatLifeOnly() {
-    watch.told(List.of("i-1@6", "i-1", "i-2@7"));
+    monitor.told(List.of("i-1@6", "i-1", "i-2@7"));
     assertFalse(target.isOver());
-    watch.told(List.of("i-1@7"));
+    monitor.told(List.of("i-1@7"));
     assertTrue(target.isOver());
-    assertEquals(told, List.of(), "who found out told all");
+    assertEquals(notified, List.of(), "the node that detected it has notified all");
   }
 
-  /** Its record moved it to another address; who answers at the former one proves nothing. */
+  /** The record has moved to another address; what answers at the previous one proves nothing. */
   @Test
   public void aLifeThatIsReachedElsewhereGoesOn() {
     misdirected(null);
--- a/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulation.java
@@ -20,37 +20,40 @@
 import org.lockdale.gateway.weights.OrderOutcome;
 
 /**
- * Nodes that follow engines which start again under their ids every second or two, during rollouts.
- * Clocks of engines jump, nodes are cut off from the store and from each other, and writes of a
- * former life are carried out late. The order of lives, what shows their ends, and what is learned
- * of weights and work are the real code.
+ * Simulates nodes that follow engines which restart under their ids every second or two, during
+ * rollouts. Clocks of engines jump, nodes are isolated from the store and from each other, and
+ * writes of an earlier incarnation take effect late. The order of incarnations, the detection that
+ * one is over, and the tracking of weights and work are the production code.
  */
 final class IncarnationSimulation {
 
   static final int NODES = 100;
   static final int ENGINES = 64;
 
-  /** Time after the last trouble from which on all nodes have to know which lives there are. */
+  /**
+   * Time in milliseconds after the last fault after which all nodes have to know the present
+   * incarnations.
+   */
   static final long CONTACT_MILLIS = 4_000;
 
   private static final String MODEL = "model";
-  private static final long TROUBLE_MILLIS = 20_000;
+  private static final long FAULTS_UNTIL_MILLIS = 20_000;
   private static final long HEARTBEAT_MILLIS = 1_200;
   private static final long MAX_SKEW_MILLIS = 6_000;
   private static final int REQUESTS_A_SECOND = 300;
   private static final long START = 1_790_000_000_000L;
 
   /**
-   * What came of it.
+   * The result of a run.
    *
    * @param sends requests sent
-   * @param misdirected those that were turned away
-   * @param newerThanHeld requests that were told to run on newer weights than a life holds, without
-   *     an expected version
-   * @param left times at which a node went from the life that serves back to a former one
-   * @param wrongAtTheEnd beliefs of nodes that differ from the truth after the contact time
-   * @param wronglyOver lives that serve and are taken for over at the end
-   * @param workLeft requests counted at a life to which none was sent
+   * @param misdirected requests that were rejected as meant for another incarnation or version
+   * @param newerThanHeld requests that were directed to an incarnation with weights newer than it
+   *     holds, without an expected version
+   * @param left times at which a node went back from the serving incarnation to an earlier one
+   * @param wrongAtTheEnd entries in the tables of nodes that are wrong at the end of the run
+   * @param wronglyOver serving incarnations that a node takes to be over at the end of the run
+   * @param workLeft incarnations for which a node counts requests though it sent none
    */
   record Result(
       int sends,
@@ -73,17 +76,18 @@
       address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1_000 + index);
     }
 
-    Incarnation life() {
+    Incarnation incarnation() {
       return Incarnation.of(id, startedAtMillis);
     }
 
     Backend record() {
-      return new Backend(life(), "pool", address, "zone", 16, false, Map.of(MODEL, weights));
+      return new Backend(incarnation(), "pool", address, "zone", 16, false, Map.of(MODEL, weights));
     }
 
-    void end() {
+    void crash() {
       up = false;
-      // A write that was on its way is carried out late, perhaps after the next life's first one.
+      // A write in progress takes effect late, perhaps after the first write of the next
+      // incarnation.
       if (random.nextInt(3) == 0) {
         Backend late = record();
         time.schedule(millis(500, 2_500), () -> write(late));
@@ -99,11 +103,11 @@
       write(record());
     }
 
-    void beat() {
+    void heartbeat() {
       if (up) {
         write(record());
       }
-      time.schedule(HEARTBEAT_MILLIS * 1_000, this::beat);
+      time.schedule(HEARTBEAT_MILLIS * 1_000, this::heartbeat);
     }
 
     void load(long version) {
@@ -116,18 +120,22 @@
 
   private final class Node implements EngineControl {
     private final LifeOrder order = new LifeOrder();
-    private final LifeWatch watch;
+    private final LifeWatch monitor;
     private BackendTable table = BackendTable.EMPTY;
-    private boolean cut;
+    private boolean isolated;
 
     Node() {
-      watch =
+      monitor =
           new LifeWatch(
-              new VirtualExecutor(time), this, () -> table, life -> tellAll(this, life), time);
+              new VirtualExecutor(time),
+              this,
+              () -> table,
+              incarnation -> broadcast(this, incarnation),
+              time);
     }
 
     void read() {
-      if (!cut) {
+      if (!isolated) {
         BackendTable before = table;
         List<Backend> current =
             order.order(
@@ -138,25 +146,32 @@
                 },
                 time.monotonicMillis());
         table = before.with(current);
-        countLeft(before);
+        countReturns(before);
       }
       time.schedule(millis(150, 400), this::read);
     }
 
-    /** A late write of a former life must not bring it back. */
-    private void countLeft(BackendTable before) {
+    /** Counts the returns to an earlier incarnation, which a late write must not cause. */
+    private void countReturns(BackendTable before) {
       for (Engine engine : engines) {
         TrackedBackend known = before.named(engine.id);
         TrackedBackend now = table.named(engine.id);
-        boolean served =
-            known != null && engine.up && known.backend().incarnation().equals(engine.life());
-        if (served && now != null && now.backend().incarnation().isBefore(engine.life())) {
+        boolean wasServing =
+            known != null
+                && engine.up
+                && known.backend().incarnation().equals(engine.incarnation());
+        if (wasServing
+            && now != null
+            && now.backend().incarnation().isBefore(engine.incarnation())) {
           left++;
         }
       }
     }
 
-    /** Sends as the request path does: to a life that is not over, expecting what it holds. */
+    /**
+     * Sends as the request path does: to an incarnation that is not over, expecting the weights
+     * that it holds.
+     */
     void send(Engine engine) {
       TrackedBackend target = table.named(engine.id);
       if (target == null || target.isOver()) {
@@ -169,7 +184,7 @@
       }
       if (expected != null && expected != engine.weights) {
         misdirected++;
-        watch.misdirected(target, MODEL, expected);
+        monitor.misdirected(target, MODEL, expected);
       } else {
         target.observeWeights(MODEL, engine.weights);
         newerThanHeld += expected == null ? 1 : 0;
@@ -179,11 +194,11 @@
     @Override
     public CompletableFuture<EngineState> state(Backend backend) {
       Engine engine = engines.get(Integer.parseInt(backend.incarnation().server().substring(2)));
-      if (!engine.up || cut) {
+      if (!engine.up || isolated) {
         return CompletableFuture.failedFuture(new IllegalStateException("no answer"));
       }
       return CompletableFuture.completedFuture(
-          new EngineState(engine.life(), Map.of(MODEL, engine.weights), false, 0));
+          new EngineState(engine.incarnation(), Map.of(MODEL, engine.weights), false, 0));
     }
 
     @Override
@@ -215,11 +230,11 @@
     rows.put(record.incarnation().server(), record);
   }
 
-  private void tellAll(Node sender, String life) {
+  private void broadcast(Node sender, String incarnation) {
     for (Node receiver : nodes) {
-      boolean arrives = !sender.cut && !receiver.cut && random.nextInt(50) > 0;
+      boolean arrives = !sender.isolated && !receiver.isolated && random.nextInt(50) > 0;
       if (receiver != sender && arrives) {
-        time.schedule(millis(1, 20), () -> receiver.watch.told(List.of(life)));
+        time.schedule(millis(1, 20), () -> receiver.monitor.told(List.of(incarnation)));
       }
     }
   }
@@ -228,7 +243,7 @@
     for (int index = 0; index < ENGINES; index++) {
       Engine engine = new Engine(index);
       engines.add(engine);
-      engine.beat();
+      engine.heartbeat();
     }
     for (int index = 0; index < NODES; index++) {
       Node node = new Node();
@@ -237,38 +252,38 @@
     }
     time.schedule(0, this::request);
     time.schedule(1_000_000, this::crash);
-    time.schedule(2_000_000, this::nameWeights);
-    time.schedule(1_500_000, this::cut);
-    time.runMillis(TROUBLE_MILLIS + LifeOrder.STALE_RECORD_MILLIS + CONTACT_MILLIS);
+    time.schedule(2_000_000, this::rollOutWeights);
+    time.schedule(1_500_000, this::isolateNodes);
+    time.runMillis(FAULTS_UNTIL_MILLIS + LifeOrder.STALE_RECORD_MILLIS + CONTACT_MILLIS);
     return result();
   }
 
-  private boolean isCalm() {
-    return time.monotonicMillis() > TROUBLE_MILLIS;
+  private boolean areFaultsOver() {
+    return time.monotonicMillis() > FAULTS_UNTIL_MILLIS;
   }
 
   private void request() {
     Node node = nodes.get(random.nextInt(NODES));
-    if (!node.cut) {
+    if (!node.isolated) {
       node.send(engines.get(random.nextInt(ENGINES)));
     }
     time.schedule(1_000_000 / REQUESTS_A_SECOND, this::request);
   }
 
   private void crash() {
-    if (isCalm()) {
+    if (areFaultsOver()) {
       return;
     }
     for (Engine engine : engines) {
       if (engine.up && random.nextInt(4) == 0) {
-        engine.end();
+        engine.crash();
       }
     }
     time.schedule(millis(1_000, 2_000), this::crash);
   }
 
-  private void nameWeights() {
-    if (isCalm()) {
+  private void rollOutWeights() {
+    if (areFaultsOver()) {
       return;
     }
     newest++;
@@ -276,20 +291,20 @@
       long version = newest;
       time.schedule(millis(600, 4_000), () -> engine.load(version));
     }
-    time.schedule(millis(4_000, 6_000), this::nameWeights);
+    time.schedule(millis(4_000, 6_000), this::rollOutWeights);
   }
 
-  private void cut() {
-    if (isCalm()) {
+  private void isolateNodes() {
+    if (areFaultsOver()) {
       return;
     }
     for (Node node : nodes) {
-      if (!node.cut && random.nextInt(3) == 0) {
-        node.cut = true;
-        time.schedule(millis(500, 3_000), () -> node.cut = false);
+      if (!node.isolated && random.nextInt(3) == 0) {
+        node.isolated = true;
+        time.schedule(millis(500, 3_000), () -> node.isolated = false);
       }
     }
-    time.schedule(millis(2_000, 5_000), this::cut);
+    time.schedule(millis(2_000, 5_000), this::isolateNodes);
   }
 
   private Result result() {
@@ -298,11 +313,11 @@
     int workLeft = 0;
     for (Node node : nodes) {
       for (Engine engine : engines) {
-        TrackedBackend believed = node.table.named(engine.id);
-        boolean right = believed != null && believed.backend().incarnation().equals(engine.life());
+        TrackedBackend known = node.table.named(engine.id);
+        boolean right = known != null && known.backend().incarnation().equals(engine.incarnation());
         wrong += right ? 0 : 1;
-        wronglyOver += right && believed.isOver() ? 1 : 0;
-        workLeft += right && !believed.load().work().isNone() ? 1 : 0;
+        wronglyOver += right && known.isOver() ? 1 : 0;
+        workLeft += right && !known.load().work().isNone() ? 1 : 0;
       }
     }
     return new Result(sends, misdirected, newerThanHeld, left, wrong, wronglyOver, workLeft);
--- a/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulationTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulationTest.java
@@ -6,10 +6,12 @@
 import org.testng.Reporter;
 import org.testng.annotations.Test;
 
-/** All nodes come to know which life of each server there is, whatever happened before. */
+/**
+ * Tests that all nodes learn the present incarnation of each server, whatever faults came before.
+ */
 public final class IncarnationSimulationTest {
 
-  /** A few seeds in CI; {@code -Dlife.seeds=200} by hand. */
+  /** Number of seeds; few by default, for CI. Set by {@code -Dlife.seeds}. */
   private static final int SEEDS = Integer.getInteger("life.seeds", 4);
 
   @Test
--- a/gateway/src/test/java/org/lockdale/gateway/life/LivenessEvidenceTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/LivenessEvidenceTest.java
@@ -13,7 +13,9 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What shows that a life goes on, and what may be its server's next one. */
+/**
+ * Tests what shows that an incarnation is alive, and what may come from the next one of its server.
+ */
 public final class LivenessEvidenceTest {
 
   private static final long STEP_MILLIS = 2_000;
@@ -32,12 +34,12 @@
   }
 
   private static Backend backend(String id) {
-    InetSocketAddress address = InetSocketAddress.createUnresolved("back-end", 80);
+    InetSocketAddress address = InetSocketAddress.createUnresolved("backend", 80);
     return new Backend(id, "pool", address, "zone", 4, false, Map.of());
   }
 
-  /** The records are read again and again, and don't change. */
-  private void currentFrom(long fromMillis, long untilMillis) {
+  /** Reads unchanged records every {@link #STEP_MILLIS}. */
+  private void publishCurrentRecords(long fromMillis, long untilMillis) {
     for (long at = fromMillis; at <= untilMillis; at += STEP_MILLIS) {
       backends.publish(backends.value(), at);
       evidence.observe();
@@ -51,38 +53,41 @@
 
   @Test
   public void anAnswerOverAConnectionThatTheRecordOutlivedShowsThatTheLifeGoesOn() {
-    currentFrom(START_MILLIS, START_MILLIS + 20_000);
+    publishCurrentRecords(START_MILLIS, START_MILLIS + 20_000);
     assertTrue(isShownByAnswer(START_MILLIS + 10_000, START_MILLIS + 20_000));
   }
 
-  /** Three nodes let a request go that had ended three servers, as the next ones answered. */
+  /**
+   * The answers of the next incarnations made three nodes release a request that had crashed three
+   * servers.
+   */
   @Test
   public void anAnswerOverAYoungConnectionMayBeTheNextLifesAndTakesNoEndBack() {
-    currentFrom(START_MILLIS, START_MILLIS + 20_000);
+    publishCurrentRecords(START_MILLIS, START_MILLIS + 20_000);
     assertTrue(!isShownByAnswer(START_MILLIS + 10_001, START_MILLIS + 20_000));
   }
 
-  /** The record of an ended server stood for 6 s while the store was silent for a moment. */
+  /** The record of a crashed server existed for 6 s while the store did not answer for a moment. */
   @Test
   public void aRecordThatStandsShowsNothingOfTheTimeInWhichAnEndedOnesMayStandAsWell() {
-    currentFrom(START_MILLIS, START_MILLIS + 20_000);
+    publishCurrentRecords(START_MILLIS, START_MILLIS + 20_000);
     assertEquals(evidence.lastAliveAtMillis(target), START_MILLIS + 10_000);
   }
 
-  /** A store that was away has had no time to drop what lapsed meanwhile. */
+  /** A store that was unavailable has not yet removed the records that expired in the meantime. */
   @Test
   public void afterAnOutageRecordsMustStandAnew() {
-    currentFrom(START_MILLIS, START_MILLIS + 20_000);
-    currentFrom(START_MILLIS + 60_000, START_MILLIS + 68_000);
+    publishCurrentRecords(START_MILLIS, START_MILLIS + 20_000);
+    publishCurrentRecords(START_MILLIS + 60_000, START_MILLIS + 68_000);
     assertEquals(evidence.lastAliveAtMillis(target), START_MILLIS + 10_000);
     assertTrue(!isShownByAnswer(START_MILLIS + 30_000, START_MILLIS + 68_000));
-    currentFrom(START_MILLIS + 70_000, START_MILLIS + 72_000);
+    publishCurrentRecords(START_MILLIS + 70_000, START_MILLIS + 72_000);
     assertEquals(evidence.lastAliveAtMillis(target), START_MILLIS + 62_000);
   }
 
   @Test
   public void nothingIsShownOfALifeThatIsOverOrWhoseRecordIsGone() {
-    currentFrom(START_MILLIS, START_MILLIS + 20_000);
+    publishCurrentRecords(START_MILLIS, START_MILLIS + 20_000);
     target.end();
     assertTrue(!isShownByAnswer(START_MILLIS, START_MILLIS + 20_000));
     assertTrue(evidence.lastAliveAtMillis(target) < 0);
