--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/AttemptJournal.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/AttemptJournal.java
@@ -105,8 +105,8 @@
   }
 
   /**
-   * Returns attempts that their nodes have not concluded and whose backends are over, each attempt
-   * once; to be called periodically.
+   * Returns attempts of other nodes, or of this one before it restarted, that have not been
+   * concluded and whose backends are over, each attempt once; to be called periodically.
    *
    * @param backends backends that have a record
    */
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashDetector.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashDetector.java
@@ -217,8 +217,8 @@
    */
   private boolean reachedUnknownIncarnation(
       LostAttempt attempt, DetectedCrash known, BackendTable backends) {
-    long endedAt = closedAt.getOrDefault(attempt.backend(), known.atMillis());
-    return attempt.connectedAtMillis() > endedAt
+    long crashedAt = closedAt.getOrDefault(attempt.backend(), known.atMillis());
+    return attempt.connectedAtMillis() > crashedAt
         && !hasLaterIncarnation(attempt.backend(), backends)
         && unassigned.size() < MAX_UNASSIGNED;
   }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/Quarantine.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/Quarantine.java
@@ -306,8 +306,8 @@
   }
 
   /**
-   * Counts the crashes of backends under attempts whose nodes terminated before they concluded
-   * them.
+   * Counts the crashes of backends under attempts that other nodes, or this one before it
+   * restarted, have not concluded.
    */
   private boolean countUnconcluded() {
     boolean changed = false;
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectMessages.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectMessages.java
@@ -18,9 +18,9 @@
   /** Converts a suspect to a message. */
   public static SuspectRecord write(Suspect suspect) {
     List<SuspectEndRecord> crashes = new ArrayList<>();
-    for (Map.Entry<String, SuspectEnd> end : suspect.ends().entrySet()) {
-      SuspectEnd crash = end.getValue();
-      crashes.add(new SuspectEndRecord(end.getKey(), crash.early(), crash.forgiven()));
+    for (Map.Entry<String, SuspectEnd> entry : suspect.ends().entrySet()) {
+      SuspectEnd crash = entry.getValue();
+      crashes.add(new SuspectEndRecord(entry.getKey(), crash.early(), crash.forgiven()));
     }
     RequestFingerprint fingerprint = suspect.fingerprint();
     return new SuspectRecord(fingerprint.high(), fingerprint.low(), suspect.sketch(), crashes);
@@ -29,8 +29,8 @@
   /** Converts a message to a suspect. */
   public static Suspect read(SuspectRecord message) {
     Map<String, SuspectEnd> crashes = new TreeMap<>();
-    for (SuspectEndRecord end : message.getEnds()) {
-      crashes.put(end.getEngine(), new SuspectEnd(end.getEarly(), end.getForgiven()));
+    for (SuspectEndRecord entry : message.getEnds()) {
+      crashes.put(entry.getEngine(), new SuspectEnd(entry.getEarly(), entry.getForgiven()));
     }
     RequestFingerprint fingerprint = new RequestFingerprint(message.getHigh(), message.getLow());
     return new Suspect(fingerprint, message.getSketch(), crashes);
--- a/gateway/src/test/java/org/lockdale/gateway/life/IncarnationMonitorTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationMonitorTest.java
@@ -82,7 +82,7 @@
   }
 
   @Test
-  public void aRequestForTheInstanceAloneThatWasNotMeantShowsTheEnd() {
+  public void aRejectionThatOnlyRequiredTheInstanceShowsThatItIsOver() {
     misdirected(null);
     assertTrue(target.isOver());
     assertEquals(notified, List.of("i-1@7"));
@@ -91,7 +91,7 @@
   }
 
   @Test
-  public void whereWeightsWereAskedForTheEngineTellsWhichItWas() {
+  public void whereWeightsWereRequiredTheStateOfTheEngineDecides() {
     misdirected(5L);
     assertFalse(target.isOver(), "the weights may be the reason");
     answers(stateOf(8L, 5));
@@ -158,13 +158,13 @@
   }
 
   @Test
-  public void whoWaitsForAnAnswerOfItIsToldOnce() {
+  public void registeredActionsRunOnceWhenAnIncarnationIsOverUnlessRemoved() {
     List<String> waiting = new ArrayList<>();
     Runnable action = () -> waiting.add("over");
-    Runnable ended = () -> waiting.add("ended before");
+    Runnable removed = () -> waiting.add("removed");
     target.whenOver(action);
-    target.whenOver(ended);
-    target.forget(ended);
+    target.whenOver(removed);
+    target.forget(removed);
     misdirected(null);
     target.end();
     assertEquals(waiting, List.of("over"));
--- a/gateway/src/test/java/org/lockdale/gateway/life/IncarnationOrderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationOrderTest.java
@@ -70,7 +70,7 @@
   }
 
   @Test
-  public void livesWithoutAStartAreTakenAsTheyCome() {
+  public void incarnationsWithoutAStartTimeAreAcceptedAsRead() {
     accepted("i@200", false, 0);
     assertEquals(accepted("i", false, 1), "i");
     assertEquals(accepted("i@200", false, 2), "i@200");
--- a/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulationTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulationTest.java
@@ -15,7 +15,7 @@
   private static final int SEEDS = Integer.getInteger("life.seeds", 4);
 
   @Test
-  public void allNodesComeToKnowTheLivesThereAre() {
+  public void allNodesLearnThePresentIncarnations() {
     long sends = 0;
     long misdirected = 0;
     for (int seed = 0; seed < SEEDS; seed++) {
@@ -29,7 +29,7 @@
       sends += result.sends();
       misdirected += result.misdirected();
     }
-    Reporter.log(SEEDS + " seeds: " + misdirected + " of " + sends + " turned away", true);
+    Reporter.log(SEEDS + " seeds: " + misdirected + " of " + sends + " rejected", true);
     assertTrue(misdirected < sends / 10, misdirected + " of " + sends);
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/life/LivenessEvidenceTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/LivenessEvidenceTest.java
@@ -62,21 +62,21 @@
    * servers.
    */
   @Test
-  public void anAnswerOverAYoungConnectionMayBeTheNextLifesAndTakesNoEndBack() {
+  public void anAnswerOverAYoungConnectionMayComeFromTheNextIncarnation() {
     publishCurrentRecords(START_MILLIS, START_MILLIS + 20_000);
     assertTrue(!isShownByAnswer(START_MILLIS + 10_001, START_MILLIS + 20_000));
   }
 
   /** The record of a crashed server existed for 6 s while the store did not answer for a moment. */
   @Test
-  public void aRecordThatStandsShowsNothingOfTheTimeInWhichAnEndedOnesMayStandAsWell() {
+  public void aRecordShowsNothingAboutTheTimeInWhichThatOfACrashedServerMayRemain() {
     publishCurrentRecords(START_MILLIS, START_MILLIS + 20_000);
     assertEquals(evidence.lastAliveAtMillis(target), START_MILLIS + 10_000);
   }
 
   /** A store that was unavailable has not yet removed the records that expired in the meantime. */
   @Test
-  public void afterAnOutageRecordsMustStandAnew() {
+  public void afterAnOutageRecordsMustExistForTheWholeTimeAgain() {
     publishCurrentRecords(START_MILLIS, START_MILLIS + 20_000);
     publishCurrentRecords(START_MILLIS + 60_000, START_MILLIS + 68_000);
     assertEquals(evidence.lastAliveAtMillis(target), START_MILLIS + 10_000);
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/AttemptJournalTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/AttemptJournalTest.java
@@ -27,7 +27,7 @@
 
     private CompletableFuture<Void> change(Runnable change) {
       if (unavailable) {
-        return CompletableFuture.failedFuture(new IllegalStateException("away"));
+        return CompletableFuture.failedFuture(new IllegalStateException("unavailable"));
       }
       change.run();
       return CompletableFuture.completedFuture(null);
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulation.java
@@ -46,13 +46,13 @@
    * Time in milliseconds from the crash of a server until its record is gone, as in a trace of the
    * soak.
    */
-  private static final int RECORD_MILLIS = 2_200;
+  private static final int RECORD_EXPIRY_MILLIS = 2_200;
 
   /**
    * Time in milliseconds within which the nodes that observed a crash are killed if the plan says
    * so.
    */
-  private static final int WITNESS_MILLIS = 50;
+  private static final int OBSERVERS_KILLED_MILLIS = 50;
 
   private static final int ALL_KILLED_MILLIS = 500;
 
@@ -68,10 +68,10 @@
    * Time in milliseconds after the third crash of a request after which its sends are counted,
    * whichever node sends.
    */
-  private static final long LATE_MILLIS = 1_000;
+  private static final long LATE_SEND_MILLIS = 1_000;
 
   /** Greatest delay in milliseconds with which a loaded node reads that a connection has closed. */
-  private static final int READ_LATE_MILLIS = 900;
+  private static final int MAX_READ_DELAY_MILLIS = 900;
 
   /**
    * The result of a run.
@@ -82,8 +82,8 @@
    * @param innocents innocent requests
    * @param refusedInnocents innocent requests that were refused at least once
    * @param lost runs of innocent requests that were lost
-   * @param sendsAfterThirdEnd sends more than {@link #LATE_MILLIS} after the third crash of their
-   *     request
+   * @param sendsAfterThirdEnd sends more than {@link #LATE_SEND_MILLIS} after the third crash of
+   *     their request
    * @param rowsWritten writes and removals of rows
    */
   record Result(
@@ -119,12 +119,12 @@
       ends++;
       List<Run> lost = List.copyOf(runs);
       runs.clear();
-      Set<Node> witnesses = new LinkedHashSet<>();
-      lost.forEach(run -> witnesses.add(run.node));
+      Set<Node> observers = new LinkedHashSet<>();
+      lost.forEach(run -> observers.add(run.node));
       lost.forEach(this::reportCrash);
       if (plan.evidence().witnessesKilled()) {
-        witnesses.forEach(
-            node -> time.schedule(random.nextInt(WITNESS_MILLIS) * 1_000L, node::restart));
+        observers.forEach(
+            node -> time.schedule(random.nextInt(OBSERVERS_KILLED_MILLIS) * 1_000L, node::restart));
       }
       nodes.forEach(node -> node.idle.remove(address));
       if (plan.evidence().allKilled() > 0 && random.nextDouble() < plan.evidence().allKilled()) {
@@ -134,14 +134,14 @@
                     random.nextInt(ALL_KILLED_MILLIS) * 1_000L,
                     () -> node.restartAfter(random.nextInt(DOWN_MILLIS))));
       }
-      time.schedule(RECORD_MILLIS * 1_000L + random.nextInt(200_000), this::removeRecord);
+      time.schedule(RECORD_EXPIRY_MILLIS * 1_000L + random.nextInt(200_000), this::removeRecord);
       time.schedule(plan.waves().restartMillis() * 1_000L, this::startAgain);
     }
 
     /** A node that is killed before it has read that the connection closed never reports it. */
     private void reportCrash(Run run) {
       Quarantine instance = run.node.quarantine;
-      int late = plan.evidence().allKilled() > 0 ? random.nextInt(READ_LATE_MILLIS) : 0;
+      int late = plan.evidence().allKilled() > 0 ? random.nextInt(MAX_READ_DELAY_MILLIS) : 0;
       if (late == 0) {
         run.lost();
         return;
@@ -235,7 +235,7 @@
         return;
       }
       if (contents.guilty) {
-        contents.ended(server.id);
+        contents.crashed(server.id);
         server.crash();
         return;
       }
@@ -274,8 +274,8 @@
   private final class Contents {
     private final String body;
     private final boolean guilty;
-    private final Set<String> endedServers = new HashSet<>();
-    private long thirdEndMillis = Long.MAX_VALUE / 2;
+    private final Set<String> crashedServers = new HashSet<>();
+    private long thirdCrashMillis = Long.MAX_VALUE / 2;
     private int lateSends;
     private int sendsAfterThirdEnd;
     private boolean refused;
@@ -285,19 +285,19 @@
       this.guilty = guilty;
     }
 
-    void ended(String server) {
-      endedServers.add(server);
-      if (endedServers.size() == 3) {
-        thirdEndMillis = time.monotonicMillis();
+    void crashed(String server) {
+      crashedServers.add(server);
+      if (crashedServers.size() == 3) {
+        thirdCrashMillis = time.monotonicMillis();
       }
     }
 
     void sent(Node node) {
       long now = time.monotonicMillis();
-      if (now > thirdEndMillis + LATE_MILLIS) {
+      if (now > thirdCrashMillis + LATE_SEND_MILLIS) {
         sendsAfterThirdEnd++;
       }
-      if (now > thirdEndMillis + CONTACT_MILLIS && node.isUndisturbed(now)) {
+      if (now > thirdCrashMillis + CONTACT_MILLIS && node.isUndisturbed(now)) {
         lateSends++;
       }
     }
@@ -312,7 +312,7 @@
     private long readAtMillis;
     private final Map<InetSocketAddress, Deque<Long>> idle = new HashMap<>();
     private final Map<InetSocketAddress, Long> avoidedUntil = new HashMap<>();
-    private final LifeEvidence lives = new LifeEvidence(this::servers);
+    private final LifeEvidence livenessEvidence = new LifeEvidence(this::servers);
     long disturbedUntilMillis = -CONTACT_MILLIS;
     boolean isolated;
     private boolean down;
@@ -331,7 +331,7 @@
               this::probe,
               this::servers,
               this,
-              suspects -> tell(this, suspects),
+              suspects -> broadcast(this, suspects),
               () -> number == 0,
               time);
       quarantine = new Quarantine(context, section, 3_600_000);
@@ -441,7 +441,9 @@
       idle.computeIfAbsent(run.server.address, key -> new ArrayDeque<>())
           .add(run.connectedAtMillis);
       Optional.ofNullable(servers.find(run.assumed))
-          .ifPresent(tracked -> lives.answered(tracked, run.connectedAtMillis, run.begunAtMillis));
+          .ifPresent(
+              tracked ->
+                  livenessEvidence.answered(tracked, run.connectedAtMillis, run.begunAtMillis));
     }
 
     void readServers() {
@@ -547,14 +549,14 @@
     int worst = 0;
     int innocents = 0;
     int refused = 0;
-    int afterThirdEnd = 0;
+    int afterThirdCrash = 0;
     for (Contents each : contents) {
-      afterThirdEnd += each.sendsAfterThirdEnd;
+      afterThirdCrash += each.sendsAfterThirdEnd;
       worst = Math.max(worst, each.lateSends);
       innocents += each.guilty ? 0 : 1;
       refused += !each.guilty && each.refused ? 1 : 0;
     }
-    return new Result(worst, ends, innocents, refused, lostRuns, afterThirdEnd, rowsWritten);
+    return new Result(worst, ends, innocents, refused, lostRuns, afterThirdCrash, rowsWritten);
   }
 
   private void arrive() {
@@ -619,7 +621,7 @@
     }
   }
 
-  private void tell(Node sender, List<Suspect> suspects) {
+  private void broadcast(Node sender, List<Suspect> suspects) {
     for (Node receiver : nodes) {
       boolean arrives =
           random.nextDouble() >= LOST_DATAGRAMS
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulationTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulationTest.java
@@ -70,8 +70,8 @@
     long innocents = 0;
     long refused = 0;
     long lost = 0;
-    long ends = 0;
-    long afterThirdEnd = 0;
+    long crashes = 0;
+    long afterThirdCrash = 0;
     long rows = 0;
     for (int seed = 0; seed < seeds; seed++) {
       QuarantineSimulation.Result result = new QuarantineSimulation(plan, seed).run();
@@ -79,26 +79,26 @@
       innocents += result.innocents();
       refused += result.refusedInnocents();
       lost += result.lost();
-      ends += result.ends();
-      afterThirdEnd += result.sendsAfterThirdEnd();
+      crashes += result.ends();
+      afterThirdCrash += result.sendsAfterThirdEnd();
       rows += result.rowsWritten();
       assertTrue(
           result.worstLateSends() <= ALLOWED_LATE_SENDS, name + ", seed " + seed + ": " + result);
     }
     String figures =
         name
-            + ": ends "
-            + ends
+            + ": crashes "
+            + crashes
             + ", innocent requests "
             + innocents
             + ", their runs lost "
             + lost
-            + ", held back "
+            + ", refused "
             + refused
             + ", late sends at most "
             + worst
-            + ", sends after the third end "
-            + afterThirdEnd
+            + ", sends after the third crash "
+            + afterThirdCrash
             + ", rows "
             + rows;
     Reporter.log(figures, true);
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectRecorderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectRecorderTest.java
@@ -25,7 +25,7 @@
     @Override
     public CompletableFuture<Void> record(Suspect suspect) {
       if (unavailable) {
-        return CompletableFuture.failedFuture(new IllegalStateException("away"));
+        return CompletableFuture.failedFuture(new IllegalStateException("unavailable"));
       }
       written.add(suspect);
       return CompletableFuture.completedFuture(null);
