--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashDetector.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashDetector.java
@@ -23,8 +23,9 @@
 final class CrashDetector {
 
   /**
-   * How long the fate of a backend is followed. Records of crashed backends expire after three
-   * heartbeats, 3.6 s, and may be read a second later; twice that time leaves room for slow stores.
+   * How long losses and crashes of a backend are remembered. Records of crashed backends expire
+   * after three heartbeats, 3.6 s, and may be read a second later; twice that time leaves room for
+   * slow stores.
    */
   static final long RETENTION_MILLIS = 10_000;
 
@@ -323,7 +324,10 @@
     return crashes;
   }
 
-  /** Returns whether the backend is alive, is draining, or has been followed for long enough. */
+  /**
+   * Returns whether the backend is alive, is draining, or has not been found to have crashed in
+   * time.
+   */
   private static boolean isResolved(TrackedBackend tracked, PendingLosses losses, long nowMillis) {
     return tracked.aliveAtMillis() > losses.latestLossMillis
         || tracked.isLeaving()
--- a/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulation.java
@@ -48,8 +48,7 @@
    *
    * @param sends requests sent
    * @param misdirected requests that were rejected as meant for another incarnation or version
-   * @param newerThanHeld requests that were directed to an incarnation with weights newer than it
-   *     holds, without an expected version
+   * @param newerThanHeld requests that ran without an expected version of weights
    * @param left times at which a node went back from the serving incarnation to an earlier one
    * @param wrongAtTheEnd entries in the tables of nodes that are wrong at the end of the run
    * @param wronglyOver serving incarnations that a node takes to be over at the end of the run
