--- /dev/null
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationOrderTest.java
@@ -0,0 +1,78 @@
+package org.lockdale.gateway.life;
+
+import static org.testng.Assert.assertEquals;
+
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.Map;
+import org.lockdale.gateway.backend.Backend;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.Test;
+
+/**
+ * Tests that a late write of an earlier incarnation changes nothing, and that a clock that was set
+ * back does no lasting harm.
+ */
+public final class IncarnationOrderTest {
+
+  private LifeOrder order;
+
+  @BeforeMethod
+  public void create() {
+    order = new LifeOrder();
+  }
+
+  private static Backend backend(String id) {
+    InetSocketAddress address = InetSocketAddress.createUnresolved("server", 1);
+    return new Backend(id, "pool", address, "zone", 4, false, Map.of());
+  }
+
+  private String accepted(String read, boolean isOver, long nowMillis) {
+    return order.order(List.of(backend(read)), known -> isOver, nowMillis).get(0).id();
+  }
+
+  @Test
+  public void aLaterLifeIsTakenAtOnce() {
+    assertEquals(accepted("i@100", false, 0), "i@100");
+    assertEquals(accepted("i@200", false, 1), "i@200");
+    assertEquals(order.decidesAtMillis(), Long.MAX_VALUE);
+  }
+
+  @Test
+  public void aLateWriteOfAnEarlierIncarnationChangesNothing() {
+    accepted("i@200", false, 0);
+    assertEquals(accepted("i@100", false, 10), "i@200");
+    assertEquals(accepted("i@200", false, 500), "i@200");
+    assertEquals(order.decidesAtMillis(), Long.MAX_VALUE, "the server has written again");
+  }
+
+  @Test
+  public void aClockThatWasSetBackIsBelievedOnceTheFormerLifeIsKnownToBeOver() {
+    accepted("i@200", false, 0);
+    assertEquals(accepted("i@100", true, 10), "i@100");
+  }
+
+  @Test
+  public void aClockThatWasSetBackIsBelievedAfterATime() {
+    accepted("i@200", false, 0);
+    assertEquals(accepted("i@100", false, 10), "i@200");
+    long due = order.decidesAtMillis();
+    assertEquals(due, 10 + LifeOrder.STALE_RECORD_MILLIS);
+    assertEquals(accepted("i@100", false, due - 1), "i@200");
+    assertEquals(accepted("i@100", false, due), "i@100");
+  }
+
+  @Test
+  public void aServerThatLeftInBetweenBeginsAnew() {
+    accepted("i@200", false, 0);
+    order.order(List.of(), known -> false, 1);
+    assertEquals(accepted("i@100", false, 2), "i@100");
+  }
+
+  @Test
+  public void incarnationsWithoutAStartTimeAreAcceptedAsRead() {
+    accepted("i@200", false, 0);
+    assertEquals(accepted("i", false, 1), "i");
+    assertEquals(accepted("i@200", false, 2), "i@200");
+  }
+}
--- a/gateway/src/test/java/org/lockdale/gateway/life/LifeSimulationTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulationTest.java
@@ -6,18 +6,20 @@
 import org.testng.Reporter;
 import org.testng.annotations.Test;
 
-/** All nodes come to know which life of each server there is, whatever happened before. */
-public final class LifeSimulationTest {
+/**
+ * Tests that all nodes learn the present incarnation of each server, whatever faults came before.
+ */
+public final class IncarnationSimulationTest {
 
-  /** A few seeds in CI; {@code -Dlife.seeds=200} by hand. */
+  /** Number of seeds; few by default, for CI. Set by {@code -Dlife.seeds}. */
   private static final int SEEDS = Integer.getInteger("life.seeds", 4);
 
   @Test
-  public void allNodesComeToKnowTheLivesThereAre() {
+  public void allNodesLearnThePresentIncarnations() {
     long sends = 0;
     long misdirected = 0;
     for (int seed = 0; seed < SEEDS; seed++) {
-      LifeSimulation.Result result = new LifeSimulation(seed).run();
+      IncarnationSimulation.Result result = new IncarnationSimulation(seed).run();
       String what = "seed " + seed + ": " + result;
       assertEquals(result.left(), 0, what);
       assertEquals(result.wrongAtTheEnd(), 0, what);
@@ -27,7 +29,7 @@
       sends += result.sends();
       misdirected += result.misdirected();
     }
-    Reporter.log(SEEDS + " seeds: " + misdirected + " of " + sends + " turned away", true);
+    Reporter.log(SEEDS + " seeds: " + misdirected + " of " + sends + " rejected", true);
     assertTrue(misdirected < sends / 10, misdirected + " of " + sends);
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/EndWatchTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/CrashWatchTest.java
@@ -18,44 +18,45 @@
 import org.testng.annotations.Test;
 
 /**
- * Behind a proxy the address of a back end that ended takes connections and closes them. Its end
- * was known by its record only, 2.4 s later, and by one node until then; each of three such nodes
- * was killed in that time, and a request was sent once more than is borne.
+ * Tests that closed connections are reported before it is known whether the backend crashed. Behind
+ * a proxy the address of a crashed backend accepts connections and closes them. Its crash was known
+ * by its record only, 2.4 s later, and to a single node until then; each of three such nodes was
+ * killed in that time, and a request was sent once more than is tolerated.
  */
-public final class EndWatchTest {
+public final class CrashWatchTest {
 
   private static final InetSocketAddress ADDRESS =
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 7001);
 
   private final VirtualTime time = new VirtualTime();
   private Queue<Reachability> answers;
-  private List<BackendEnd> ends;
+  private List<BackendCrash> crashes;
   private List<String> closed;
   private BackendTable table;
-  private EndWatch watch;
+  private CrashWatch watch;
 
   @BeforeMethod
   public void create() {
     answers = new ArrayDeque<>();
-    ends = new ArrayList<>();
+    crashes = new ArrayList<>();
     closed = new ArrayList<>();
     table =
         BackendTable.EMPTY.with(
             List.of(new Backend("i-1@1", "pool", ADDRESS, "zone", 4, false, Map.of())));
     watch =
-        new EndWatch(
+        new CrashWatch(
             new VirtualExecutor(time),
             address -> CompletableFuture.completedFuture(answers.remove()),
             () -> table,
-            new EndWatch.Listener() {
+            new CrashWatch.Listener() {
               @Override
-              public void onClosed(LostAttempt attempt) {
+              public void onConnectionClosed(LostAttempt attempt) {
                 closed.add(attempt.request().id());
               }
 
               @Override
-              public void onEnd(BackendEnd end) {
-                ends.add(end);
+              public void onCrash(BackendCrash crash) {
+                crashes.add(crash);
               }
             },
             time);
@@ -63,7 +64,7 @@
 
   private void lose(Reachability... found) {
     answers.addAll(List.of(found));
-    watch.lost(lost("r1", LostAttempt.Loss.CLOSED));
+    watch.attemptLost(lost("r1", LostAttempt.Loss.CLOSED));
     time.runMillis(100);
   }
 
@@ -71,26 +72,26 @@
     return new LostAttempt("i-1@1", ADDRESS, Requests.of(id, "/a", "body"), "tenant", 0, loss, 0);
   }
 
-  private List<EndEvidence> evidence() {
-    return ends.stream().map(BackendEnd::evidence).toList();
+  private List<CrashEvidence> evidence() {
+    return crashes.stream().map(BackendCrash::evidence).toList();
   }
 
   @Test
-  public void connectionsThatAreClosedAtOnceTwiceShowTheEnd() {
+  public void connectionsThatAreClosedAtOnceTwiceShowTheCrash() {
     lose(Reachability.CLOSES, Reachability.CLOSES);
-    assertEquals(evidence(), List.of(EndEvidence.CLOSES_CONNECTIONS));
+    assertEquals(evidence(), List.of(CrashEvidence.CLOSES_CONNECTIONS));
   }
 
   @Test
-  public void oneThatIsClosedOnceShowsNothing() {
+  public void aConnectionThatIsClosedAtOnceOnlyOnceShowsNothing() {
     lose(Reachability.CLOSES, Reachability.ACCEPTS);
     assertEquals(evidence(), List.of());
   }
 
   @Test
-  public void aRefusedConnectionShowsTheEnd() {
+  public void aRefusedConnectionShowsTheCrash() {
     lose(Reachability.REFUSES);
-    assertEquals(evidence(), List.of(EndEvidence.REFUSES_CONNECTIONS));
+    assertEquals(evidence(), List.of(CrashEvidence.REFUSES_CONNECTIONS));
   }
 
   @Test
@@ -99,77 +100,78 @@
     assertEquals(evidence(), List.of());
   }
 
-  /** Who saw it may be killed before it is known whether the back end ended. */
+  /** The node that observed it may be killed before it is known whether the backend crashed. */
   @Test
-  public void aClosedConnectionIsToldAtOnce() {
+  public void aClosedConnectionIsReportedAtOnce() {
     answers.add(Reachability.ACCEPTS);
-    watch.lost(lost("r1", LostAttempt.Loss.CLOSED));
-    watch.lost(lost("r2", LostAttempt.Loss.CLOSED));
+    watch.attemptLost(lost("r1", LostAttempt.Loss.CLOSED));
+    watch.attemptLost(lost("r2", LostAttempt.Loss.CLOSED));
     time.runMillis(1);
     assertEquals(closed, List.of("r1", "r2"));
     time.runMillis(100);
   }
 
-  /** An overloaded back end is silent as well, and takes long to be heard again. */
+  /** An overloaded backend is silent as well, and takes long to answer again. */
   @Test
-  public void silenceIsNotTaken() {
+  public void aSilentConnectionIsNotReportedAsClosed() {
     answers.add(Reachability.ACCEPTS);
-    watch.lost(lost("r1", LostAttempt.Loss.SILENT));
+    watch.attemptLost(lost("r1", LostAttempt.Loss.SILENT));
     time.runMillis(100);
     assertEquals(closed, List.of());
   }
 
   /**
-   * A caller leaves 30 ms after it has sent its request, and 10 ms later the back end ends of it;
-   * only the connections of other requests show that.
+   * A caller leaves 30 ms after it has sent its request, and 10 ms later the request crashes the
+   * backend; only the connections of other requests show this.
    */
   @Test
-  public void whatWasGivenUpAMomentBeforeOthersCloseIsLostWithThem() {
+  public void anAttemptGivenUpShortlyBeforeOthersCloseIsLostWithThem() {
     answers.add(Reachability.REFUSES);
-    watch.lost(lost("left", LostAttempt.Loss.GIVEN_UP));
+    watch.attemptLost(lost("left", LostAttempt.Loss.GIVEN_UP));
     time.runMillis(500);
-    assertEquals(closed, List.of(), "nothing speaks for an end yet");
-    watch.lost(lost("neighbour", LostAttempt.Loss.CLOSED));
+    assertEquals(closed, List.of(), "nothing indicates a crash yet");
+    watch.attemptLost(lost("neighbour", LostAttempt.Loss.CLOSED));
     time.runMillis(1);
     assertEquals(closed, List.of("neighbour", "left"));
     time.runMillis(100);
-    assertEquals(ends.get(0).lost().size(), 2);
+    assertEquals(crashes.get(0).lost().size(), 2);
   }
 
   /**
-   * A loaded server began it 0.5 s after its caller left, and the close was handled 1.2 s later.
+   * A loaded server began the attempt 0.5 s after its caller had left, and the node handled the
+   * closed connection 1.2 s later.
    */
   @Test
-  public void whatWasGivenUpSecondsBeforeALoadedNodeHandlesTheCloseIsLostWithIt() {
+  public void anAttemptGivenUpSecondsBeforeALoadedNodeHandlesTheCloseIsLostWithIt() {
     answers.add(Reachability.REFUSES);
-    watch.lost(lost("left", LostAttempt.Loss.GIVEN_UP));
+    watch.attemptLost(lost("left", LostAttempt.Loss.GIVEN_UP));
     time.runMillis(2_400);
-    watch.lost(lost("neighbour", LostAttempt.Loss.CLOSED));
+    watch.attemptLost(lost("neighbour", LostAttempt.Loss.CLOSED));
     time.runMillis(1);
     assertEquals(closed, List.of("neighbour", "left"));
     time.runMillis(100);
   }
 
   @Test
-  public void whatItsBackEndHasOutlivedIsNotLostWithLaterOnes() {
+  public void aGivenUpAttemptThatItsBackendSurvivedIsNotLostWithLaterOnes() {
     answers.add(Reachability.REFUSES);
-    watch.lost(lost("left", LostAttempt.Loss.GIVEN_UP));
+    watch.attemptLost(lost("left", LostAttempt.Loss.GIVEN_UP));
     time.runMillis(1_500);
     table.find("i-1@1").answered(time.monotonicMillis());
-    watch.lost(lost("neighbour", LostAttempt.Loss.CLOSED));
+    watch.attemptLost(lost("neighbour", LostAttempt.Loss.CLOSED));
     time.runMillis(100);
     assertEquals(closed, List.of("neighbour"));
-    assertEquals(ends.get(0).lost().size(), 1);
+    assertEquals(crashes.get(0).lost().size(), 1);
   }
 
   @Test
-  public void whatWasGivenUpLongBeforeIsNot() {
+  public void anAttemptGivenUpLongBeforeIsNotLostWithLaterOnes() {
     answers.add(Reachability.REFUSES);
-    watch.lost(lost("left", LostAttempt.Loss.GIVEN_UP));
+    watch.attemptLost(lost("left", LostAttempt.Loss.GIVEN_UP));
     time.runMillis(3_500);
-    watch.lost(lost("neighbour", LostAttempt.Loss.CLOSED));
+    watch.attemptLost(lost("neighbour", LostAttempt.Loss.CLOSED));
     time.runMillis(100);
     assertEquals(closed, List.of("neighbour"));
-    assertEquals(ends.get(0).lost().size(), 1);
+    assertEquals(crashes.get(0).lost().size(), 1);
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectRecorderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectRecorderTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Who records a suspect, when, and when its row goes. */
+/** Tests which node records a suspect, when, and when its row is removed. */
 public final class SuspectRecorderTest {
 
   private static final long HOLD_MILLIS = 60_000;
@@ -20,12 +20,12 @@
   private final class Rows extends EmptySuspectTable {
     private final List<Suspect> written = new ArrayList<>();
     private final List<RequestFingerprint> removed = new ArrayList<>();
-    private boolean away;
+    private boolean unavailable;
 
     @Override
     public CompletableFuture<Void> record(Suspect suspect) {
-      if (away) {
-        return CompletableFuture.failedFuture(new IllegalStateException("away"));
+      if (unavailable) {
+        return CompletableFuture.failedFuture(new IllegalStateException("unavailable"));
       }
       written.add(suspect);
       return CompletableFuture.completedFuture(null);
@@ -54,11 +54,11 @@
   }
 
   private static Suspect suspect(int number, String... backends) {
-    Map<String, SuspectEnd> ends = new HashMap<>();
+    Map<String, SuspectEnd> crashes = new HashMap<>();
     for (String backend : backends) {
-      ends.put(backend, new SuspectEnd(true, false));
+      crashes.put(backend, new SuspectEnd(true, false));
     }
-    return new Suspect(new RequestFingerprint(number, number), number, ends);
+    return new Suspect(new RequestFingerprint(number, number), number, crashes);
   }
 
   private void learn(Suspect suspect) {
@@ -73,38 +73,38 @@
   }
 
   @Test
-  public void whoSawTheSecondEndRecordsItAtOnce() {
+  public void theNodeThatObservedTheSecondCrashRecordsItAtOnce() {
     learn(suspect(1, "a", "b"));
-    recorder.seenHere(new RequestFingerprint(1, 1));
+    recorder.markSeenLocally(new RequestFingerprint(1, 1));
     recorder.tick();
     assertEquals(rows.written, List.of(suspect(1, "a", "b")));
     tickFor(2_000);
-    assertEquals(rows.written.size(), 1, "once");
+    assertEquals(rows.written.size(), 1, "written once");
   }
 
-  /** All nodes were killed between the first end of a request and its second. */
+  /** All nodes were killed between the first crash under a request and its second. */
   @Test
-  public void aFirstEndIsRecordedAtOnceSoThatItOutlivesAllNodes() {
+  public void aFirstCrashIsRecordedAtOnceSoThatItOutlivesAllNodes() {
     learn(suspect(1, "a"));
-    recorder.seenHere(new RequestFingerprint(1, 1));
+    recorder.markSeenLocally(new RequestFingerprint(1, 1));
     recorder.tick();
     assertEquals(rows.written, List.of(suspect(1, "a")));
   }
 
   @Test
-  public void anEndOfAnAnswerThatHadRunForLongIsNotRecordedAlone() {
+  public void aSingleCrashUnderALongRunningAnswerIsNotRecorded() {
     Map<String, SuspectEnd> late = Map.of("a", new SuspectEnd(false, false));
     learn(new Suspect(new RequestFingerprint(1, 1), 1, late));
-    recorder.seenHere(new RequestFingerprint(1, 1));
+    recorder.markSeenLocally(new RequestFingerprint(1, 1));
     tickFor(2_000);
     assertTrue(rows.written.isEmpty());
   }
 
   @Test
-  public void aRowOfAFirstEndGoesAfterAWhileAndIsNotWrittenAgain() {
+  public void aRowWithASingleCrashIsRemovedAfterAWhileAndNotWrittenAgain() {
     coordinator = true;
     learn(suspect(1, "a"));
-    recorder.seenHere(new RequestFingerprint(1, 1));
+    recorder.markSeenLocally(new RequestFingerprint(1, 1));
     tickFor(29_000);
     assertTrue(rows.removed.isEmpty());
     tickFor(20_000);
@@ -113,10 +113,10 @@
   }
 
   @Test
-  public void aFirstEndThatIsTakenBackCostsNoSecondWrite() {
+  public void aRetractedSingleCrashCostsNoSecondWrite() {
     coordinator = true;
     learn(suspect(1, "a"));
-    recorder.seenHere(new RequestFingerprint(1, 1));
+    recorder.markSeenLocally(new RequestFingerprint(1, 1));
     recorder.tick();
     ledger.forgive(new RequestFingerprint(1, 1));
     tickFor(16_000);
@@ -125,21 +125,21 @@
   }
 
   @Test
-  public void rowsOfFirstEndsAreFewAndLeaveRoomForSecondOnes() {
+  public void rowsWithASingleCrashAreFewAndLeaveRoomForOthers() {
     for (int number = 0; number < 200; number++) {
       learn(suspect(number, "a"));
-      recorder.seenHere(new RequestFingerprint(number, number));
+      recorder.markSeenLocally(new RequestFingerprint(number, number));
     }
     tickFor(3_000);
     assertEquals(rows.written.size(), 32);
     learn(suspect(777, "a", "b"));
-    recorder.seenHere(new RequestFingerprint(777, 777));
+    recorder.markSeenLocally(new RequestFingerprint(777, 777));
     recorder.tick();
-    assertEquals(rows.written.size(), 33, "one with two ends is recorded all the same");
+    assertEquals(rows.written.size(), 33, "one with two crashes is recorded nevertheless");
   }
 
   @Test
-  public void theCoordinatorRecordsWhatItsWitnessDoesNot() {
+  public void theCoordinatorRecordsWhatTheObservingNodeDoesNot() {
     coordinator = true;
     learn(suspect(1, "a", "b"));
     tickFor(400);
@@ -158,18 +158,18 @@
   }
 
   @Test
-  public void whatIsOnRecordIsNotWrittenAgain() {
+  public void aRowThatContainsEverythingIsNotWrittenAgain() {
     learn(suspect(1, "a", "b"));
-    recorder.observed(List.of(suspect(1, "a", "b", "c")));
+    recorder.update(List.of(suspect(1, "a", "b", "c")));
     tickFor(2_000);
     assertTrue(rows.written.isEmpty());
   }
 
   @Test
-  public void aRowThatSaysLessIsWrittenAgain() {
+  public void aRowThatContainsLessIsWrittenAgain() {
     learn(suspect(1, "a", "b"));
-    recorder.seenHere(new RequestFingerprint(1, 1));
-    recorder.observed(List.of(suspect(1, "b", "c")));
+    recorder.markSeenLocally(new RequestFingerprint(1, 1));
+    recorder.update(List.of(suspect(1, "b", "c")));
     learn(suspect(1, "b", "c"));
     recorder.tick();
     assertEquals(rows.written, List.of(suspect(1, "a", "b", "c")));
@@ -177,11 +177,11 @@
 
   @Test
   public void aStoreThatIsBackIsWrittenToSoon() {
-    rows.away = true;
+    rows.unavailable = true;
     learn(suspect(1, "a", "b"));
-    recorder.seenHere(new RequestFingerprint(1, 1));
+    recorder.markSeenLocally(new RequestFingerprint(1, 1));
     tickFor(5_000);
-    rows.away = false;
+    rows.unavailable = false;
     tickFor(600);
     assertEquals(rows.written.size(), 1);
   }
@@ -189,7 +189,7 @@
   @Test
   public void aClearedSuspectIsRecordedAsSuchAndItsRowRemovedLater() {
     coordinator = true;
-    recorder.observed(List.of(suspect(1, "a", "b")));
+    recorder.update(List.of(suspect(1, "a", "b")));
     learn(suspect(1, "a", "b"));
     ledger.forgive(new RequestFingerprint(1, 1));
     tickFor(600);
@@ -203,21 +203,21 @@
   @Test
   public void aRowThatTheLedgerHasForgottenDoesNotComeBackFromTheNextReading() {
     Suspect old = suspect(1, "a", "b");
-    assertEquals(recorder.observed(List.of(old)), List.of(old));
-    assertEquals(recorder.observed(List.of(old, suspect(2, "c", "d"))).size(), 1);
+    assertEquals(recorder.update(List.of(old)), List.of(old));
+    assertEquals(recorder.update(List.of(old, suspect(2, "c", "d"))).size(), 1);
   }
 
   @Test
-  public void rowsOfRequestsThatAreNotHeldBackAreFew() {
+  public void rowsOfRequestsThatAreNotQuarantinedAreFew() {
     for (int number = 0; number < 200; number++) {
       learn(suspect(number, "a", "b"));
-      recorder.seenHere(new RequestFingerprint(number, number));
+      recorder.markSeenLocally(new RequestFingerprint(number, number));
     }
     tickFor(3_000);
     assertEquals(rows.written.size(), 32);
     learn(suspect(777, "a", "b", "c"));
-    recorder.seenHere(new RequestFingerprint(777, 777));
+    recorder.markSeenLocally(new RequestFingerprint(777, 777));
     recorder.tick();
-    assertEquals(rows.written.size(), 33, "one that is held back is recorded all the same");
+    assertEquals(rows.written.size(), 33, "one that is quarantined is recorded nevertheless");
   }
 }
