--- a/gateway/src/main/java/org/lockdale/gateway/node/BackendController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/BackendController.java
@@ -24,37 +24,41 @@
 import org.lockdale.http.HttpClient;
 import org.tinylog.Logger;
 
-/** Keeps the section {@code backends} from the back ends' table. */
+/**
+ * Updates the section {@code backends} of the blackboard from the backends' table. Runs on one
+ * event loop.
+ */
 final class BackendController implements TableFollower.Listener {
 
   /**
-   * After the store has come back from an older copy back ends have written again within two
-   * seconds; until then the record of one that leaves may say that it is ready.
+   * Time after a restore of the store from an older copy during which records may be out of date.
+   * Backends rewrite their records within two seconds; until then, the record of a draining backend
+   * may say that it is ready.
    */
-  private static final long WRITTEN_AGAIN_MILLIS = 4_000;
+  private static final long STALE_RECORDS_MILLIS = 4_000;
 
   private final GatewayBlackboard blackboard;
   private final RowReader<Backend> reader;
   private final HttpClient client;
   private final EventLoop eventLoop;
-  private final Consumer<BackendTable> recall;
+  private final Consumer<BackendTable> markDraining;
   private final Time time;
-  private final LapsedBackends lapsed;
-  private final LifeOrder lives = new LifeOrder();
-  private List<Backend> read = List.of();
-  private Set<String> present = Set.of();
+  private final ExpiredBackends expired;
+  private final LifeOrder incarnations = new LifeOrder();
+  private List<Backend> latestRecords = List.of();
+  private Set<String> serversWithRow = Set.of();
   private long provenAtMillis;
-  private long copyMayBeOldUntilMillis = Long.MIN_VALUE;
+  private long recordsMayBeStaleUntilMillis = Long.MIN_VALUE;
 
   /**
    * Creates a controller.
    *
-   * @param eventLoop runs it
-   * @param blackboard what the node believes
-   * @param records reads records
-   * @param client told of back ends that are gone
-   * @param outage time without a proof from which on the store was out of reach
-   * @param recall marks what is known of back ends that were off record meanwhile
+   * @param eventLoop event loop that runs this controller
+   * @param blackboard shared state of the node
+   * @param records parser of the store's rows
+   * @param client HTTP client that closes its idle connections to removed backends
+   * @param outage time without a proof after which the store counts as unreachable
+   * @param markDraining marks the backends of a new table that are known to be draining
    * @param time clock
    */
   BackendController(
@@ -63,24 +67,24 @@
       SharedRecords records,
       HttpClient client,
       Duration outage,
-      Consumer<BackendTable> recall,
+      Consumer<BackendTable> markDraining,
       Time time) {
     this.eventLoop = eventLoop;
     this.blackboard = blackboard;
     this.reader = new RowReader<>(row -> Optional.of(records.backend(row)));
     this.client = client;
-    this.lapsed = new LapsedBackends(outage.toMillis());
-    this.recall = recall;
+    this.expired = new ExpiredBackends(outage.toMillis());
+    this.markDraining = markDraining;
     this.time = time;
   }
 
   @Override
   public void onTable(Map<String, TableRowChange> rows, boolean changed, long provenMillis) {
-    lapsed.proven(provenMillis, time.monotonicMillis());
+    expired.onProof(provenMillis, time.monotonicMillis());
     provenAtMillis = provenMillis;
     if (changed) {
-      read = reader.read(rows);
-      present = Set.copyOf(rows.keySet());
+      latestRecords = reader.read(rows);
+      serversWithRow = Set.copyOf(rows.keySet());
       publish();
     } else {
       blackboard.backends().publish(blackboard.backends().value(), provenMillis);
@@ -89,63 +93,72 @@
 
   @Override
   public void onUnreachable() {
-    lapsed.unreachable();
+    expired.onUnreachable();
   }
 
   @Override
   public void onHistoryReplaced() {
     long now = time.monotonicMillis();
-    copyMayBeOldUntilMillis = now + WRITTEN_AGAIN_MILLIS;
-    lapsed.historyReplaced(now);
-    eventLoop.schedule(this::publish, WRITTEN_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+    recordsMayBeStaleUntilMillis = now + STALE_RECORDS_MILLIS;
+    expired.onHistoryReplaced(now);
+    eventLoop.schedule(this::publish, STALE_RECORDS_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** A life that was seen to leave is not used again since an older copy of its record is back. */
-  private Backend stillLeaving(Backend read, BackendTable before) {
-    TrackedBackend known = before.find(read.id());
-    boolean left = known != null && known.backend().leaving() && !read.leaving();
-    return left ? known.backend() : read;
+  /**
+   * Returns the record to use for a backend while records may be out of date. An incarnation whose
+   * earlier record said that it was draining stays draining.
+   */
+  private Backend keepDraining(Backend record, BackendTable before) {
+    TrackedBackend known = before.find(record.id());
+    boolean drains = known != null && known.backend().leaving() && !record.leaving();
+    return drains ? known.backend() : record;
   }
 
-  /** Takes in that a newer configuration is in force. */
+  /** Applies a newer configuration. */
   void onConfiguration() {
     publish();
   }
 
   /**
-   * Returns the records that belong to a pool of the configuration; those of a pool of engines run
-   * one of its models. Others may come from another writer, and a thousand of them would take the
-   * places of a rollout and of the followers of caches.
+   * Returns the records whose pool is configured; in a pool of engines, only those that run one of
+   * its models. Other records may come from a foreign writer. A thousand of them would occupy the
+   * slots of a rollout and the connections that follow caches.
    */
   private List<Backend> inConfiguredPools() {
     GatewayConfiguration configuration = blackboard.configuration().value();
-    return read.stream()
+    return latestRecords.stream()
         .filter(
             record ->
-                configuration.pool(record.pool()).filter(pool -> serves(record, pool)).isPresent())
+                configuration
+                    .pool(record.pool())
+                    .filter(pool -> servesModelOf(record, pool))
+                    .isPresent())
         .toList();
   }
 
-  private static boolean serves(Backend record, Pool pool) {
+  private static boolean servesModelOf(Backend record, Pool pool) {
     return !pool.hasEngines() || !Collections.disjoint(pool.models(), record.weights().keySet());
   }
 
-  /** Requests that run on a former life would wait for an answer that can't come. */
+  /**
+   * Ends an incarnation that another one of the same server has replaced. Its open requests would
+   * otherwise wait for responses that cannot come.
+   */
   private static void endIfReplaced(TrackedBackend gone, BackendTable after) {
     if (after.named(gone.backend().incarnation().server()) != null) {
       gone.end();
     }
   }
 
-  /** Returns whether a life is known to be over, though its record stands. */
+  /** Returns whether an incarnation is known to have ended although its record still exists. */
   private boolean isOver(Backend backend) {
     TrackedBackend tracked = blackboard.backends().value().find(backend.id());
     return tracked != null && tracked.isOver();
   }
 
-  private void decideAgain(long nowMillis) {
-    long lapsedAt = lapsed.isBelieving() ? lapsed.endsAtMillis() : Long.MAX_VALUE;
-    long due = Math.min(lapsedAt, lives.decidesAtMillis());
+  private void scheduleNextPublish(long nowMillis) {
+    long retentionEnd = expired.hasRetained() ? expired.retentionEndsAtMillis() : Long.MAX_VALUE;
+    long due = Math.min(retentionEnd, incarnations.decidesAtMillis());
     if (due != Long.MAX_VALUE) {
       eventLoop.schedule(this::publish, due - nowMillis, TimeUnit.MILLISECONDS);
     }
@@ -153,21 +166,21 @@
 
   private void publish() {
     BackendTable before = blackboard.backends().value();
-    List<Backend> relied =
+    List<Backend> inUse =
         before.all().stream()
             .filter(tracked -> !tracked.hasSaidItLeaves())
             .map(TrackedBackend::backend)
             .toList();
     long now = time.monotonicMillis();
-    List<Backend> current = lives.order(inConfiguredPools(), this::isOver, now);
-    if (now < copyMayBeOldUntilMillis) {
-      current = current.stream().map(record -> stillLeaving(record, before)).toList();
+    List<Backend> current = incarnations.order(inConfiguredPools(), this::isOver, now);
+    if (now < recordsMayBeStaleUntilMillis) {
+      current = current.stream().map(record -> keepDraining(record, before)).toList();
     }
-    BackendTable after = before.with(lapsed.complete(relied, current, present, now));
-    recall.accept(after);
-    decideAgain(now);
+    BackendTable after = before.with(expired.merge(inUse, current, serversWithRow, now));
+    markDraining.accept(after);
+    scheduleNextPublish(now);
     if (after.sameRecordsAs(before)) {
-      // Rows hold more than the records do, such as the time of the last sign of life.
+      // Rows hold fields that records leave out, such as the time of the backend's last heartbeat.
       blackboard.backends().publish(before, provenAtMillis);
       return;
     }
--- a/gateway/src/main/java/org/lockdale/gateway/node/BackendsHandler.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/BackendsHandler.java
@@ -11,7 +11,7 @@
 import org.lockdale.http.HttpProtocolError;
 import org.lockdale.http.HttpReply;
 
-/** Shows operators the back ends that this node relies on, a line each. */
+/** Lists the backends that this node uses, as text with one line for each, for operators. */
 final class BackendsHandler implements HttpHandler {
 
   static final String PATH = "/backends";
@@ -58,7 +58,7 @@
   }
 
   private String rateOf(String backend) {
-    return rates.named(backend).map(named -> Double.toString(named.perSecond())).orElse("none");
+    return rates.named(backend).map(rate -> Double.toString(rate.perSecond())).orElse("none");
   }
 
   @Override
--- a/gateway/src/main/java/org/lockdale/gateway/node/ClusterObserver.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/ClusterObserver.java
@@ -15,8 +15,8 @@
 import org.lockdale.gateway.table.TableRowChange;
 
 /**
- * Passes on what the nodes' own table holds: other nodes, when weights were named, and requests
- * under which back ends ended.
+ * Dispatches the rows of the cluster table: addresses of other nodes, times at which target
+ * versions of weights were set, and requests that crashed backends.
  */
 final class ClusterObserver implements TableFollower.Listener {
 
@@ -27,7 +27,7 @@
   private final RowReader<Suspect> suspectReader;
   private final RowReader<SuspectAttempt> attemptReader;
   private final NodeRegistry nodes;
-  private final WeightsRecorder recorder;
+  private final TargetVersionRecorder recorder;
   private final OperatorController operators;
   private final BiConsumer<List<Suspect>, List<SuspectAttempt>> onSuspects;
   private boolean historyReplaced;
@@ -36,7 +36,7 @@
       ClusterTable table,
       SuspectTable suspects,
       NodeRegistry nodes,
-      WeightsRecorder recorder,
+      TargetVersionRecorder recorder,
       OperatorController operators,
       BiConsumer<List<Suspect>, List<SuspectAttempt>> onSuspects) {
     this.nodeReader =
@@ -65,10 +65,10 @@
     List<RecordedWeights> recorded = weightsReader.read(rows);
     if (historyReplaced) {
       historyReplaced = false;
-      recorder.historyReplaced(recorded);
+      recorder.onHistoryReplaced(recorded);
     }
     for (RecordedWeights row : recorded) {
-      operators.onWitnessed(row.model(), recorder.observed(row));
+      operators.onObservedByPeers(row.model(), recorder.observe(row));
     }
     onSuspects.accept(suspectReader.read(rows), attemptReader.read(rows));
     nodes.refresh();
--- a/gateway/src/main/java/org/lockdale/gateway/node/ClusterServices.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/ClusterServices.java
@@ -41,12 +41,12 @@
 import org.lockdale.gateway.weights.WeightsPolicy;
 import org.lockdale.http.HttpClient;
 
-/** What a node does together with the other nodes: copies of tables, relays, placement. */
+/** Runs the services by which a node cooperates with others: tables, relays, placement, limits. */
 final class ClusterServices {
 
-  private static final long UPKEEP_MILLIS = 500;
+  private static final long MAINTENANCE_MILLIS = 500;
 
-  /** A proof may be older than one wait by the time until the next heartbeat, and a lost one. */
+  /** Covers the time to the next heartbeat, by which a proof is older, and one lost heartbeat. */
   private static final Duration PROOF_MARGIN = Duration.ofMillis(1_000);
 
   private final EventLoop eventLoop;
@@ -61,27 +61,27 @@
   private final NodeReporter reporter;
   private final PlacementDecider decider;
   private final PlacementClient placements;
-  private final WeightsRecorder weightsRecorder;
+  private final TargetVersionRecorder weightsRecorder;
   private final OperatorController operators;
   private final BackendController backends;
   private final LimitServices limits;
   private final Quarantine quarantine;
   private final SuspectCatchUp suspectCatchUp;
-  private final LifeServices lives;
+  private final IncarnationServices incarnations;
   private final SuspensionLog suspensions;
 
   /**
    * Creates the services; {@link #start} starts them.
    *
-   * @param eventLoop runs them
+   * @param eventLoop event loop that runs the services
    * @param settings settings of the node
-   * @param blackboard what the node believes
+   * @param blackboard shared state of the node
    * @param protocols adapters of the deployment
-   * @param controlClient calls other nodes
-   * @param backendClient told of back ends that are gone
-   * @param meter counts what is exchanged with other nodes
+   * @param controlClient HTTP client for calls to other nodes
+   * @param backendClient HTTP client for backends; closes its idle connections to removed backends
+   * @param meter counts the bytes exchanged with other nodes
    * @param time clock
-   * @param startedAtMillis monotonic time at which the process began
+   * @param startedAtMillis monotonic time at which the process started
    */
   ClusterServices(
       EventLoop eventLoop,
@@ -100,17 +100,22 @@
     peerLoads = new PeerLoads(time);
     cacheDirectory = cacheDirectory(protocols);
     PeerNode self = self(settings);
-    long life = ThreadLocalRandom.current().nextLong();
+    long incarnation = ThreadLocalRandom.current().nextLong();
     nodes = new NodeRegistry(eventLoop, protocols.clusterTable(), self, time);
     datagrams = new DatagramExchange(self.id(), self.address(), eventLoop, meter);
     limits =
         new LimitServices(
-            eventLoop, settings, blackboard, limitCluster(self.id(), life), time, startedAtMillis);
+            eventLoop,
+            settings,
+            blackboard,
+            limitCluster(self.id(), incarnation),
+            time,
+            startedAtMillis);
     StoreClock clock = new StoreClock();
     TableFollower.Sources sources =
         new TableFollower.Sources(protocols.feed(), new TableSliceClient(controlClient), clock);
     weightsRecorder =
-        new WeightsRecorder(
+        new TargetVersionRecorder(
             blackboard.weights(),
             protocols.clusterTable(),
             clock,
@@ -120,7 +125,7 @@
     operators = operators(settings, protocols, startedAtMillis);
     backends = backends(settings, protocols, backendClient);
     tables = tables(sources, settings, protocols);
-    relays = relays(settings, clock, life);
+    relays = relays(settings, clock, incarnation);
     reporter =
         new NodeReporter(
             eventLoop, datagrams, () -> blackboard.backends().value(), relays::relays, time);
@@ -139,8 +144,8 @@
             blackboard.suspects(),
             settings.get(GatewaySettings.QUARANTINE_HOLD).toMillis());
     suspectCatchUp = new SuspectCatchUp(eventLoop, controlClient, nodes::peers, quarantine::told);
-    lives =
-        LifeServices.of(
+    incarnations =
+        IncarnationServices.of(
             eventLoop, protocols.engines(), blackboard, new PeerNotices(nodes, datagrams), time);
   }
 
@@ -153,7 +158,7 @@
         startedAtMillis,
         settings.get(GatewaySettings.WEIGHTS_BOUND),
         settings.get(GatewaySettings.NODE_CATCH_UP),
-        // The operators' table is followed after all is made.
+        // Called only after start(), when all fields are set.
         () -> backends.onConfiguration());
   }
 
@@ -164,9 +169,9 @@
         blackboard,
         protocols.records(),
         backendClient,
-        TableFollowers.outage(settings),
-        // The table of back ends is followed after all is made.
-        after -> lives.leavings().recall(after),
+        TableFollowers.outageThreshold(settings),
+        // Called only after start(), when all fields are set.
+        after -> incarnations.draining().recall(after),
         time);
   }
 
@@ -177,11 +182,11 @@
         settings.get(GatewaySettings.NODE_LINK));
   }
 
-  /** The limits are made before the relays, and decided on after both. */
-  private LimitServices.Cluster limitCluster(String selfId, long life) {
+  /** Refers to the relays lazily, since the limits are created before them. */
+  private LimitServices.Cluster limitCluster(String selfId, long incarnation) {
     return new LimitServices.Cluster(
         selfId,
-        life,
+        incarnation,
         datagrams,
         () -> relays.deciders(),
         relay -> relays.silent(relay),
@@ -203,8 +208,8 @@
         time);
   }
 
-  /** The followers are made before the quarantine, and read after it. */
-  private void suspectsOnRecord(List<Suspect> suspects, List<SuspectAttempt> attempts) {
+  /** Refers to the quarantine lazily, since the followers of tables are created before it. */
+  private void onSuspectRows(List<Suspect> suspects, List<SuspectAttempt> attempts) {
     quarantine.observed(suspects, attempts);
   }
 
@@ -229,7 +234,7 @@
         time);
   }
 
-  private RelayController relays(GatewaySettings settings, StoreClock clock, long life) {
+  private RelayController relays(GatewaySettings settings, StoreClock clock, long incarnation) {
     return new RelayController(
         eventLoop,
         nodes,
@@ -237,7 +242,7 @@
         tables.all(),
         clock,
         settings.get(GatewaySettings.STORE_WAIT).plus(PROOF_MARGIN),
-        life,
+        incarnation,
         time,
         limits.responder()::share,
         cacheDirectory::follow);
@@ -252,7 +257,7 @@
             nodes,
             weightsRecorder,
             operators,
-            this::suspectsOnRecord);
+            this::onSuspectRows);
     return TableFollowers.of(
         eventLoop, sources, settings, protocols, time, operators, backends, cluster);
   }
@@ -265,7 +270,7 @@
   void start() {
     ReportReceiver reports =
         new ReportReceiver(
-            () -> blackboard.backends().value(), peerLoads, time, this::moved, this::expectParts);
+            () -> blackboard.backends().value(), peerLoads, time, this::onMove, this::expectParts);
     PlacementResponder responder = new PlacementResponder(datagrams, decider, peerLoads, time);
     datagrams.start(
         new NodeListener(
@@ -277,8 +282,8 @@
             limits.rateExchange(),
             placements,
             quarantine::told,
-            lives.watch()::told,
-            lives.statements()::told));
+            incarnations.monitor()::told,
+            incarnations.announcements()::told));
     quarantine.start();
     suspectCatchUp.start();
     nodes.start();
@@ -287,22 +292,22 @@
     reporter.start();
     cacheDirectory.start();
     eventLoop.scheduleAtFixedRate(
-        this::upkeep, UPKEEP_MILLIS, UPKEEP_MILLIS, TimeUnit.MILLISECONDS);
+        this::maintain, MAINTENANCE_MILLIS, MAINTENANCE_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private void upkeep() {
+  private void maintain() {
     suspensions.tick();
     nodes.refresh();
     weightsRecorder.tick();
     peerLoads.expire();
-    lives.leavings().tick(blackboard.backends().value());
+    incarnations.draining().tick(blackboard.backends().value());
     Set<String> engines = new HashSet<>();
     blackboard.backends().value().all().forEach(tracked -> engines.add(tracked.backend().id()));
     reporter.retain(engines);
-    limits.upkeep(engines);
+    limits.maintain(engines);
   }
 
-  /** Ceases to serve other nodes, as before a planned stop. */
+  /** Stops serving as a relay, ahead of a planned stop. */
   void retire() {
     relays.retire();
   }
@@ -312,18 +317,18 @@
     tables.all().forEach(TableFollower::close);
   }
 
-  /** Tells the state of an engine in a rollout to all who place requests. */
+  /** Applies a change of an engine's state in a rollout and reports it to the relays. */
   void announce(EngineMove move) {
-    moved(move);
+    onMove(move);
     reporter.moved(move);
   }
 
-  /** Returns the prompt tokens that wait at an engine, of the requests of all nodes. */
+  /** Returns the number of prompt tokens queued at an engine by the requests of all nodes. */
   long waitingTokens(TrackedBackend engine) {
     return engine.load().waitingTokens() + peerLoads.at(engine.backend().id()).waitingTokens();
   }
 
-  private void moved(EngineMove move) {
+  private void onMove(EngineMove move) {
     long now = time.monotonicMillis();
     RolloutProgress progress = blackboard.rollout().value().with(move, now);
     blackboard.rollout().publish(progress, now);
@@ -335,57 +340,57 @@
     parts.forEach(part -> cacheDirectory.engine(engine).expect(part, now));
   }
 
-  /** Returns the number of nodes of the deployment, this one included, or 0 if not known yet. */
+  /** Returns the number of nodes in the deployment including this one, or 0 if not yet known. */
   int size() {
     return tables.cluster().isKnown() ? nodes.peers().size() + 1 : 0;
   }
 
-  /** Returns whether this node is the relay that places the requests of all. */
+  /** Returns whether this node is the relay that places the requests of all nodes. */
   private boolean isCoordinator() {
     return relays.isServing() && relays.coordinator().isEmpty();
   }
 
-  /** Returns what keeps tenants to their limits. */
+  /** Returns the limiter that enforces the limits of tenants. */
   TenantLimiter limiter() {
     return limits.client();
   }
 
-  /** Returns whether this node serves others as a relay. */
+  /** Returns whether this node serves as a relay. */
   boolean isRelay() {
     return relays.isServing();
   }
 
-  /** Returns this node's copies of tables. */
+  /** Returns the followers of all tables. */
   List<TableFollower> followers() {
     return tables.all();
   }
 
-  /** Returns what tells where requests are served. */
+  /** Returns the service that places requests, with the help of a relay where there is one. */
   PlacementService placements() {
     return placements;
   }
 
-  /** Returns what this node decides by itself. */
+  /** Returns the component that decides placements on this node, without a relay. */
   PlacementDecider decider() {
     return decider;
   }
 
-  /** Returns what is known of requests under which back ends ended. */
+  /** Returns the quarantine of requests that crash backends. */
   Quarantine quarantine() {
     return quarantine;
   }
 
-  /** Returns what learns of the lives of back ends. */
-  LifeServices lives() {
-    return lives;
+  /** Returns the services that track the incarnations of backends. */
+  IncarnationServices incarnations() {
+    return incarnations;
   }
 
-  /** Returns what is known of the rates that back ends name. */
+  /** Returns the rates that backends advertise. */
   BackendRates rates() {
     return limits.rates();
   }
 
-  /** Returns what tells the relays of this node's requests. */
+  /** Returns the reporter of this node's requests to the relays. */
   NodeReporter reporter() {
     return reporter;
   }
--- a/gateway/src/main/java/org/lockdale/gateway/node/GatewayNode.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/GatewayNode.java
@@ -33,30 +33,32 @@
 import org.lockdale.settings.Setting;
 import org.tinylog.Logger;
 
-/** A gateway node: its controllers, its servers and its planned stop. */
+/** A gateway node. Creates its services and HTTP servers, and stops them as planned. */
 public final class GatewayNode {
 
-  /** Load balancers may need this long to notice that the node no longer calls itself ready. */
-  private static final long NOTICE_MILLIS = 2_500;
+  /** Time within which load balancers notice that the node reports itself as not ready. */
+  private static final long READINESS_NOTICE_MILLIS = 2_500;
 
-  /** Time kept at the end of the grace for the process to end by itself. */
+  /** Part of the grace period that is reserved for the process to exit. */
   private static final long EXIT_MILLIS = 250;
 
   private static final long STOP_CHECK_MILLIS = 50;
 
-  /** Tenths of the revocation bound after which a proof is too old; the rest is for sending. */
+  /**
+   * Tenths of the revocation bound after which a proof is too old; the remainder is for sending.
+   */
   private static final int PROOF_AGE_TENTHS = 9;
 
   private static final int TENTHS = 10;
 
-  /** A request may hold a connection of its caller and one to a back end. */
-  private static final int FILES_OF_A_REQUEST = 2;
+  /** A request may use one connection to its caller and one to a backend. */
+  private static final int FILES_PER_REQUEST = 2;
 
   /**
-   * Long enough to cost nothing, and short enough that a node which runs out of processor time has
-   * told some of it.
+   * Interval of the log of processor time and traffic: long enough to cost little, and short enough
+   * that a node which runs out of processor time has logged part of it.
    */
-  private static final long USAGE_MILLIS = 10_000;
+  private static final long USAGE_LOG_MILLIS = 10_000;
 
   private final GatewaySettings settings;
   private final TrafficMeter meter = new TrafficMeter();
@@ -110,9 +112,9 @@
             cluster.placements(),
             cluster.decider(),
             cluster.quarantine(),
-            cluster.lives().watch(),
+            cluster.incarnations().monitor(),
             cluster.rates(),
-            cluster.lives().statements(),
+            cluster.incarnations().announcements(),
             settings.get(GatewaySettings.NODE_ZONE),
             cluster.reporter(),
             time);
@@ -136,9 +138,9 @@
   /**
    * Starts a node.
    *
-   * @param settings checked settings
-   * @param adapters makes the adapters of the deployment from the control event loops and a client
-   *     that runs on them
+   * @param settings validated settings
+   * @param adapters creates the adapters of the deployment from the control event loops and an HTTP
+   *     client that runs on them
    * @throws org.lockdale.http.HttpBindException if an address can't be bound
    */
   public static GatewayNode start(
@@ -147,13 +149,13 @@
   }
 
   /**
-   * Starts a node that serves callers on a socket which listens already.
+   * Starts a node that serves callers on a socket that is already listening.
    *
-   * @param settings checked settings
-   * @param adapters makes the adapters of the deployment from the control event loops and a client
-   *     that runs on them
-   * @param listener the socket, on the callers' address of the settings, or null for none
-   * @param startedAtMillis monotonic time at which the process began
+   * @param settings validated settings
+   * @param adapters creates the adapters of the deployment from the control event loops and an HTTP
+   *     client that runs on them
+   * @param listener the socket, bound to the callers' address in the settings, or null to open one
+   * @param startedAtMillis monotonic time at which the process started
    * @throws org.lockdale.http.HttpBindException if an address can't be bound
    */
   public static GatewayNode start(
@@ -165,12 +167,12 @@
     node.cluster.start();
     node.rollout.start();
     node.controlLoop.scheduleAtFixedRate(
-        node.usage::log, USAGE_MILLIS, USAGE_MILLIS, TimeUnit.MILLISECONDS);
+        node.usage::log, USAGE_LOG_MILLIS, USAGE_LOG_MILLIS, TimeUnit.MILLISECONDS);
     Logger.info("event=started node={}", settings.get(GatewaySettings.NODE_ID));
     return node;
   }
 
-  /** Names threads by what they do, as the log of processor time tells them. */
+  /** Creates event loops whose threads are named by purpose, for the log of processor time. */
   private static EventLoopGroup eventLoops(String name, int threads) {
     return new MultiThreadIoEventLoopGroup(
         threads, new DefaultThreadFactory(name), NioIoHandler.newFactory());
@@ -184,7 +186,7 @@
             ProcessorTimes.ofThisProcess()::millisByThread,
             meter::totals,
             cluster.rates(),
-            cluster.lives().statements()));
+            cluster.incarnations().announcements()));
   }
 
   private RequestLimits limits() {
@@ -209,7 +211,7 @@
             protocols.engines(),
             cluster::announce,
             cluster::waitingTokens,
-            cluster.lives().watch()::replaced),
+            cluster.incarnations().monitor()::replaced),
         protocols.rolloutLease(),
         settings.get(GatewaySettings.NODE_ID),
         settings.get(GatewaySettings.LEASE_GUARD).toMillis(),
@@ -220,7 +222,7 @@
   private HttpServer callers(@Nullable EarlyListener listener) {
     HttpServerSettings bounds =
         HttpServerSettings.forAddress(settings.get(GatewaySettings.CALLERS_ADDRESS))
-            .withMaxConnections(settings.get(GatewaySettings.OPEN_FILES) / FILES_OF_A_REQUEST);
+            .withMaxConnections(settings.get(GatewaySettings.OPEN_FILES) / FILES_PER_REQUEST);
     return listener == null
         ? HttpServer.start(bounds, group, path)
         : HttpServer.start(bounds, group, path, listener);
@@ -231,8 +233,11 @@
   }
 
   /**
-   * Stops as planned: the node calls itself not ready at once, serves what still comes, closes
-   * connections as they fall idle, and ends when nothing is open or the grace is nearly over.
+   * Starts a planned stop. The node reports itself as not ready at once, refuses new requests once
+   * load balancers had time to notice, closes connections as they become idle, and stops once no
+   * request is open or the grace period is nearly over.
+   *
+   * @return completes when the node has stopped
    */
   public CompletableFuture<Void> stop() {
     Logger.info("event=stopping open-requests={}", path.openRequests());
@@ -247,9 +252,9 @@
     long elapsed = time.monotonicMillis() - startedAtMillis;
     long grace = settings.get(GatewaySettings.STOP_GRACE).toMillis() - EXIT_MILLIS;
     callers.closeIdleConnections();
-    boolean noticed = elapsed >= NOTICE_MILLIS;
+    boolean noticed = elapsed >= READINESS_NOTICE_MILLIS;
     if (noticed && blackboard.phase().value() == GatewayPhase.STOPPING) {
-      // What comes from now on might not end within the grace.
+      // Requests that arrive from now on might not complete within the grace period.
       blackboard.phase().publish(GatewayPhase.DRAINING, time.monotonicMillis());
     }
     boolean idle = noticed && path.openRequests() == 0;
@@ -267,17 +272,19 @@
         () -> checkStopped(startedAtMillis), STOP_CHECK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Returns whether new requests are refused since a planned stop is near its end. */
+  /**
+   * Returns whether a planned stop has reached its last phase, in which new requests are refused.
+   */
   public boolean isDraining() {
     return blackboard.phase().value() == GatewayPhase.DRAINING;
   }
 
-  /** Returns whether this node follows the store and places requests on behalf of others. */
+  /** Returns whether this node serves as a relay, which follows the store on behalf of others. */
   public boolean isRelay() {
     return cluster.isRelay();
   }
 
-  /** Re-reads nothing that can change at run time; notes that it was asked to. */
+  /** Logs a reload request. No setting can change at run time, so nothing is read again. */
   public void reload() {
     Logger.info("event=reload-asked node={}", settings.get(GatewaySettings.NODE_ID));
   }
--- a/gateway/src/main/java/org/lockdale/gateway/node/GatewayProtocols.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/GatewayProtocols.java
@@ -11,17 +11,17 @@
 import org.lockdale.gateway.weights.EngineControl;
 
 /**
- * The adapters of one deployment.
+ * The adapters by which a node of one deployment reaches callers, backends and the shared store.
  *
  * @param callers protocol of callers
- * @param backends protocol of back ends
- * @param feed tables of the shared store
- * @param records what operators and back ends write there
- * @param engines state and orders of engines
- * @param cacheEvents what holders of cached prompts keep
- * @param clusterTable the nodes' own table
- * @param suspects rows of requests under which back ends ended, in the nodes' own table
- * @param rolloutLease row of the lease under which weights are rolled out
+ * @param backends protocol of backends
+ * @param feed scans and changes of the tables in the shared store
+ * @param records parser of the rows that operators and backends write
+ * @param engines reads the state of engines and sends them orders
+ * @param cacheEvents events of engines and cache stores about the prompt parts that they cache
+ * @param clusterTable table that the nodes share with each other
+ * @param suspects rows of suspect requests in the cluster table
+ * @param rolloutLease row of the lease whose holder rolls out weights
  */
 public record GatewayProtocols(
     CallerProtocol callers,
--- a/gateway/src/main/java/org/lockdale/gateway/node/GatewaySettings.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/GatewaySettings.java
@@ -13,17 +13,17 @@
 import org.lockdale.settings.SettingsReference;
 import org.lockdale.settings.ValueParsers;
 
-/** The settings of a gateway node: their declarations and their checked values. */
+/** Declares the settings of a gateway node and holds their validated values. */
 public final class GatewaySettings {
 
   private static final Duration MILLISECOND = Duration.ofMillis(1);
   private static final Duration HOUR = Duration.ofHours(1);
   private static final int MAX_COUNT = 1_000_000;
 
-  /** Tokens in a window; far beyond any deployment. */
+  /** Upper bound of tokens in a window, far above what any deployment uses. */
   private static final int MAX_AMOUNT = 1_000_000_000;
 
-  /** Id of the node. */
+  /** Unique id of this node. */
   public static final Setting<String> NODE_ID =
       declare(
           "node.id",
@@ -33,7 +33,7 @@
           "Id of this node, unique among all nodes; a restarted node keeps it.",
           ValueParsers.name());
 
-  /** Zone of the node. */
+  /** Zone in which this node runs. */
   public static final Setting<String> NODE_ZONE =
       declare(
           "node.zone",
@@ -43,7 +43,7 @@
           "Zone this node stands in, as named in the records of back ends.",
           ValueParsers.name());
 
-  /** Bandwidth of the node. */
+  /** Bandwidth of this node's link, in megabits per second. */
   public static final Setting<Double> NODE_LINK =
       declare(
           "node.link",
@@ -54,7 +54,7 @@
               + " relays.",
           GatewaySettings::count);
 
-  /** When a node that was away is held to all bounds again. */
+  /** Time after a start or an interruption at which every time bound applies to this node again. */
   public static final Setting<Duration> NODE_CATCH_UP =
       duration(
           "node.catch-up",
@@ -62,7 +62,7 @@
           "Time after its start, or after a break, from which this node is held to every bound of"
               + " time; what it finds then may be older than it can tell.");
 
-  /** Threads that serve connections. */
+  /** Number of event loops that serve connections. */
   public static final Setting<Integer> THREADS =
       declare(
           "node.threads",
@@ -72,7 +72,7 @@
           "Event loops that serve callers and back ends; one for each core.",
           ValueParsers.integer(1, 256));
 
-  /** Open files of the process. */
+  /** Maximum number of files that the process may have open. */
   public static final Setting<Integer> OPEN_FILES =
       declare(
           "node.open-files",
@@ -83,11 +83,11 @@
               + " a connection to a back end as well.",
           ValueParsers.integer(16, MAX_COUNT));
 
-  /** Address for callers. */
+  /** Address on which callers are served. */
   public static final Setting<InetSocketAddress> CALLERS_ADDRESS =
       address("callers.address", "Address on which callers are served.");
 
-  /** Longest wait of a request for a node that has just started. */
+  /** Longest time for which a request waits until a starting node can serve it. */
   public static final Setting<Duration> CALLERS_START_WAIT =
       duration(
           "callers.start-wait",
@@ -95,11 +95,11 @@
           "Longest time for which a request waits for a node that has just started and has not read"
               + " configuration and back ends yet; it is refused as not run after that.");
 
-  /** Address for health checks. */
+  /** Address on which readiness checks are answered. */
   public static final Setting<InetSocketAddress> READINESS_ADDRESS =
       address("readiness.address", "Address on which the node tells whether it serves.");
 
-  /** Address for other nodes. */
+  /** Address on which other nodes are served, by UDP and TCP. */
   public static final Setting<InetSocketAddress> PEERS_ADDRESS =
       address("peers.address", "Address on which other nodes are heard, by UDP and TCP.");
 
@@ -107,7 +107,7 @@
   public static final Setting<InetSocketAddress> STORE_ADDRESS =
       address("store.address", "Address of the store with configuration and back ends.");
 
-  /** Longest wait of one call that follows changes. */
+  /** Longest time for which the store holds a call that polls for changes. */
   public static final Setting<Duration> STORE_WAIT =
       duration(
           "store.wait",
@@ -115,11 +115,11 @@
           "How long the store holds a call while nothing changes; each answer proves that the"
               + " configuration is current.");
 
-  /** Longest wait for an answer of the store, beyond the time it holds a call. */
+  /** Timeout of calls to the store, in addition to the time for which the store holds them. */
   public static final Setting<Duration> STORE_TIMEOUT =
       duration("store.timeout", "800ms", "Longest wait for an answer of the store.");
 
-  /** Longest time for which a revoked key may be served. */
+  /** Longest time for which a revoked API key may still be served. */
   public static final Setting<Duration> KEY_REVOCATION_BOUND =
       duration(
           "keys.revocation-bound",
@@ -128,7 +128,7 @@
               + " once nine tenths of it have passed since the configuration was last proven"
               + " current.");
 
-  /** Share of requests that may be sent again. */
+  /** Maximum ratio of repeated sends to requests. */
   public static final Setting<Double> RETRY_RATIO =
       declare(
           "retries.ratio",
@@ -139,7 +139,7 @@
               + " to three quarters of it.",
           GatewaySettings::share);
 
-  /** Sends that may be repeated however few requests there are. */
+  /** Repeated sends that are allowed in a window regardless of the number of requests. */
   public static final Setting<Double> RETRY_ALLOWANCE =
       declare(
           "retries.allowance",
@@ -150,18 +150,18 @@
               + " requests; nodes keep to half of it.",
           GatewaySettings::count);
 
-  /** Window of the retry budget. */
+  /** Length of the sliding window of the retry budget. */
   public static final Setting<Duration> RETRY_WINDOW =
       duration("retries.window", "10s", "Sliding window in which retries are counted.");
 
-  /** Window of the limits of tenants. */
+  /** Length of the sliding window of the limits of tenants. */
   public static final Setting<Duration> LIMITS_WINDOW =
       duration(
           "tenants.limit-window",
           "8s",
           "Sliding window in which what the tenants send is counted against their limits.");
 
-  /** Share of a limit that may run beyond it. */
+  /** Fraction of a tenant's limit by which the limit may be exceeded. */
   public static final Setting<Double> LIMITS_OVERSHOOT =
       declare(
           "tenants.limit-overshoot",
@@ -172,7 +172,7 @@
               + " are out of touch, and for requests larger than what is left of the limit.",
           GatewaySettings::share);
 
-  /** What may run beyond a limit whatever the limit. */
+  /** Amount by which a tenant's limit may be exceeded in addition, regardless of the limit. */
   public static final Setting<Double> LIMITS_SLACK =
       declare(
           "tenants.limit-slack",
@@ -182,19 +182,19 @@
           "What may run beyond a tenant's limit in a window besides, in the unit of the limit.",
           text -> number(text, MAX_AMOUNT));
 
-  /** Bound of a rollout of weights. */
+  /** Longest time for which older weights may serve after a new target version was set. */
   public static final Setting<Duration> WEIGHTS_BOUND =
       duration(
           "weights.bound",
           "8s",
           "Longest time after new weights were named in which older ones may serve.");
 
-  /** Least time between the orders of two nodes. */
+  /** Minimum time between the orders of two holders of the same lease. */
   public static final Setting<Duration> LEASE_GUARD =
       duration(
           "lease.guard", "3s", "Least time between the orders of two holders of the same lease.");
 
-  /** Hold of requests under which back ends ended. */
+  /** Time for which a request that crashed backends is quarantined. */
   public static final Setting<Duration> QUARANTINE_HOLD =
       duration(
           "quarantine.hold",
@@ -202,11 +202,11 @@
           "How long a request is held back after three back ends have ended under it; then it may be"
               + " tried again, and is held back at its next end.");
 
-  /** Longest wait for a connection to come up. */
+  /** Timeout of connecting to a backend. */
   public static final Setting<Duration> CONNECT_TIMEOUT =
       duration("backends.connect-timeout", "300ms", "Longest wait for a connection to a back end.");
 
-  /** Longest planned stop. */
+  /** Time from a stop signal until the process is killed. */
   public static final Setting<Duration> STOP_GRACE =
       duration("stop.grace", "8s", "Time from a stop signal until the process is killed.");
 
@@ -276,31 +276,32 @@
     return number(text, MAX_COUNT);
   }
 
-  private static double number(String text, int most) {
+  private static double number(String text, int max) {
     double value;
     try {
       value = Double.parseDouble(text);
     } catch (NumberFormatException notANumber) {
       throw new IllegalArgumentException("is not a number");
     }
-    if (!(value >= 0 && value <= most)) {
-      throw new IllegalArgumentException("is not within 0 to " + most);
+    if (!(value >= 0 && value <= max)) {
+      throw new IllegalArgumentException("is not within 0 to " + max);
     }
     return value;
   }
 
   /**
-   * Loads and checks the settings.
+   * Loads and validates the settings.
    *
    * @param file YAML file of keys and values, or null for none
-   * @param flags values that override the file
-   * @throws SettingsException if anything is wrong; the message names file, key, value and remedy
+   * @param flags values by key, which override those of the file
+   * @throws SettingsException if any setting is invalid; the message names the file, key, value and
+   *     remedy
    */
   public static GatewaySettings load(@Nullable Path file, Map<String, String> flags) {
     return new GatewaySettings(SettingsLoader.load(ALL, file, flags));
   }
 
-  /** Returns docs/GATEWAY-SETTINGS.md. */
+  /** Returns the reference page of all settings, which is docs/GATEWAY-SETTINGS.md. */
   public static String referencePage() {
     return SettingsReference.toMarkdown(
         "Settings of a gateway node",
@@ -310,7 +311,7 @@
         ALL);
   }
 
-  /** Returns all declarations in the order of the reference page. */
+  /** Returns the declarations of all settings, in the order of the reference page. */
   public static List<Setting<?>> declarations() {
     return ALL;
   }
--- /dev/null
+++ b/gateway/src/main/java/org/lockdale/gateway/node/IncarnationServices.java
@@ -0,0 +1,45 @@
+package org.lockdale.gateway.node;
+
+import io.netty.channel.EventLoop;
+import org.lockdale.coordination.time.Time;
+import org.lockdale.gateway.blackboard.GatewayBlackboard;
+import org.lockdale.gateway.cluster.PeerNotices;
+import org.lockdale.gateway.drain.BackendStatements;
+import org.lockdale.gateway.drain.Leavings;
+import org.lockdale.gateway.life.LifeWatch;
+import org.lockdale.gateway.weights.EngineControl;
+
+/**
+ * The services that track the incarnations of backends by their responses and by notices of other
+ * nodes.
+ *
+ * @param monitor detects incarnations that have ended
+ * @param announcements processes announcements that a backend is draining or requests a backoff
+ * @param draining remembers incarnations that are draining
+ */
+record IncarnationServices(LifeWatch monitor, BackendStatements announcements, Leavings draining) {
+
+  /**
+   * Creates the services.
+   *
+   * @param eventLoop event loop that runs the services
+   * @param engines reads the state of engines
+   * @param blackboard shared state of the node
+   * @param notices notifies other nodes
+   * @param time clock
+   */
+  static IncarnationServices of(
+      EventLoop eventLoop,
+      EngineControl engines,
+      GatewayBlackboard blackboard,
+      PeerNotices notices,
+      Time time) {
+    Leavings drainingBackends =
+        new Leavings(() -> blackboard.backends().value(), notices::leaving, time);
+    return new IncarnationServices(
+        new LifeWatch(
+            eventLoop, engines, () -> blackboard.backends().value(), notices::lifeOver, time),
+        new BackendStatements(drainingBackends, time),
+        drainingBackends);
+  }
+}
--- a/gateway/src/main/java/org/lockdale/gateway/node/LimitServices.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/LimitServices.java
@@ -20,7 +20,10 @@
 import org.lockdale.gateway.limit.LimitBound;
 import org.lockdale.gateway.rate.BackendRates;
 
-/** What keeps the requests of all nodes together within limits: those of tenants, and rates. */
+/**
+ * The services that keep the requests of all nodes together within the limits of tenants and the
+ * rates that backends advertise.
+ */
 final class LimitServices {
 
   private final GatewayBlackboard blackboard;
@@ -30,27 +33,29 @@
   private final RateExchange rateExchange;
 
   /**
-   * Where the services find the other nodes.
+   * Access of the services to the other nodes.
    *
    * @param selfId id of this node
-   * @param life tells the lives of this node apart
-   * @param datagrams carries questions and loans
-   * @param deciders tells the ids of the relays that may decide, the most senior first
-   * @param onSilent told of a relay that no longer answers
-   * @param coordinator the relay that places requests, or empty where this node does so itself
-   * @param placesForAll whether this node is the relay that places the requests of all
-   * @param relays the other relays that can be relied on
-   * @param peers the other nodes
-   * @param nodes tells the number of nodes, or 0 where it is not known yet
+   * @param incarnation random number that distinguishes this process from earlier ones of the same
+   *     node
+   * @param datagrams sends and receives questions and loans
+   * @param limitRelays supplies the ids of the relays that may decide on limits, the most senior
+   *     first
+   * @param onUnresponsive receives the id of a relay that no longer responds
+   * @param coordinator supplies the relay that places requests, or empty if this node does so
+   * @param isCoordinator whether this node is the relay that places the requests of all nodes
+   * @param relays supplies the other relays that place requests, the most senior first
+   * @param peers supplies the other nodes
+   * @param nodes supplies the number of nodes, or 0 if it is not yet known
    */
   record Cluster(
       String selfId,
-      long life,
+      long incarnation,
       DatagramExchange datagrams,
-      Supplier<List<String>> deciders,
-      Consumer<String> onSilent,
+      Supplier<List<String>> limitRelays,
+      Consumer<String> onUnresponsive,
       Supplier<Optional<RelayElection.Relay>> coordinator,
-      BooleanSupplier placesForAll,
+      BooleanSupplier isCoordinator,
       Supplier<List<RelayElection.Relay>> relays,
       Supplier<? extends Collection<PeerNode>> peers,
       IntSupplier nodes) {}
@@ -58,12 +63,12 @@
   /**
    * Creates the services.
    *
-   * @param eventLoop runs them
+   * @param eventLoop event loop that runs the services
    * @param settings settings of the node
-   * @param blackboard what the node believes
-   * @param cluster where they find the other nodes
+   * @param blackboard shared state of the node
+   * @param cluster access to the other nodes
    * @param time clock
-   * @param startedAtMillis monotonic time at which the process began
+   * @param startedAtMillis monotonic time at which the process started
    */
   LimitServices(
       EventLoop eventLoop,
@@ -83,7 +88,7 @@
             cluster.datagrams(),
             () -> blackboard.configuration().value(),
             bound,
-            cluster.life(),
+            cluster.incarnation(),
             time);
     client =
         new LimitClient(
@@ -91,8 +96,8 @@
                 cluster.selfId(),
                 eventLoop,
                 cluster.datagrams(),
-                cluster.deciders(),
-                cluster.onSilent(),
+                cluster.limitRelays(),
+                cluster.onUnresponsive(),
                 responder,
                 cluster.nodes(),
                 bound,
@@ -103,11 +108,11 @@
         new RateExchange(
             new RateExchange.Context(
                 cluster.selfId(),
-                cluster.life(),
+                cluster.incarnation(),
                 eventLoop,
                 cluster.datagrams()::sendOfRates,
                 cluster.coordinator(),
-                cluster.placesForAll(),
+                cluster.isCoordinator(),
                 cluster.relays(),
                 cluster.peers(),
                 cluster.nodes(),
@@ -117,33 +122,33 @@
   }
 
   /**
-   * To be called from time to time.
+   * Performs periodic maintenance. Must be called periodically.
    *
-   * @param backends text forms of the incarnations on record
+   * @param backends text forms of the incarnations that are in the shared store
    */
-  void upkeep(Set<String> backends) {
+  void maintain(Set<String> backends) {
     responder.refresh();
     client.lend(!blackboard.configuration().value().tenantLimits().isEmpty());
     rates.tick(backends);
     rateExchange.tick();
   }
 
-  /** Returns what decides on tenants' limits for other nodes. */
+  /** Returns the service that decides on the limits of tenants for other nodes. */
   LimitResponder responder() {
     return responder;
   }
 
-  /** Returns what keeps tenants to their limits. */
+  /** Returns the limiter that enforces the limits of tenants. */
   LimitClient client() {
     return client;
   }
 
-  /** Returns what keeps requests within the rates of back ends, with the other nodes. */
+  /** Returns the service that shares the rates of backends with the other nodes. */
   RateExchange rateExchange() {
     return rateExchange;
   }
 
-  /** Returns what is known of the rates that back ends name. */
+  /** Returns the rates that backends advertise. */
   BackendRates rates() {
     return rates;
   }
--- a/gateway/src/main/java/org/lockdale/gateway/node/MetricsHandler.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/MetricsHandler.java
@@ -11,7 +11,7 @@
 import org.lockdale.http.HttpProtocolError;
 import org.lockdale.http.HttpReply;
 
-/** Tells a node's counters and gauges as text, a line each: name, labels in braces, value. */
+/** Serves a node's counters and gauges as text lines of name, labels in braces, and value. */
 final class MetricsHandler implements HttpHandler {
 
   static final String PATH = "/metrics";
@@ -19,14 +19,14 @@
   private static final int OK = 200;
 
   /**
-   * What is told.
+   * Sources of the metrics.
    *
-   * @param openRequests tells the number of requests without a final answer
-   * @param requestsByOutcome tells the requests that have ended
-   * @param processorMillis tells processor time by kind of thread
-   * @param trafficBytes tells bytes exchanged beside the requests, by kind of message
-   * @param rates what is known of the rates that back ends name
-   * @param statements what answers said of leavings and rests
+   * @param openRequests supplies the number of requests without a final response
+   * @param requestsByOutcome supplies the number of completed requests by outcome
+   * @param processorMillis supplies processor time by thread, in milliseconds
+   * @param trafficBytes supplies the bytes exchanged other than requests, by kind of message
+   * @param rates rates that backends advertise
+   * @param announcements announcements of draining and backoff in the responses of backends
    */
   record Sources(
       IntSupplier openRequests,
@@ -34,7 +34,7 @@
       Supplier<Map<String, Long>> processorMillis,
       Supplier<Map<String, Long>> trafficBytes,
       BackendRates rates,
-      BackendStatements statements) {}
+      BackendStatements announcements) {}
 
   private final Sources sources;
 
@@ -51,15 +51,15 @@
         text, "lockdale_processor_milliseconds_total", "thread", sources.processorMillis().get());
     addAll(text, "lockdale_traffic_bytes_total", "kind", sources.trafficBytes().get());
     addRates(text, sources.rates());
-    add(text, "lockdale_backend_leavings_total", sources.statements().leavings());
-    add(text, "lockdale_backend_rests_total", sources.statements().rests());
-    add(text, "lockdale_withdrawn_sends_total", sources.statements().withdrawals());
+    add(text, "lockdale_backend_leavings_total", sources.announcements().leavings());
+    add(text, "lockdale_backend_rests_total", sources.announcements().rests());
+    add(text, "lockdale_withdrawn_sends_total", sources.announcements().withdrawals());
     exchange.reply(HttpReply.text(OK, text.toString()));
   }
 
   private static void addRates(StringBuilder text, BackendRates rates) {
     Map<String, Double> limits = new TreeMap<>();
-    rates.limited().forEach((backend, named) -> limits.put(backend, named.perSecond()));
+    rates.limited().forEach((backend, rate) -> limits.put(backend, rate.perSecond()));
     add(text, "lockdale_rate_share", rates.share());
     addAll(text, "lockdale_backend_rate_per_second", "backend", limits);
     addAll(text, "lockdale_backend_rate_sends_total", "backend", rates.sends());
--- a/gateway/src/main/java/org/lockdale/gateway/node/OperatorController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/OperatorController.java
@@ -17,18 +17,18 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps the sections {@code configuration} and {@code weights} from the operators' table. A version
- * once in force is never left for an older one, and one that can't be read leaves the last good one
- * in force.
+ * Updates the sections {@code configuration} and {@code weights} of the blackboard from the
+ * operators' table. A configuration is never replaced by an older version. Where a row can't be
+ * read, the last valid version stays in force.
  */
 final class OperatorController implements TableFollower.Listener {
 
   /**
-   * Time from the start of a process until its first code runs, and from the end of a break until
-   * the table is read again. A node with 0.75 of a core logged its whole start 0.5 to 0.7 s after
-   * its process began.
+   * Time from the start of a process until its first code runs, and from the end of an interruption
+   * until the table is read again. With 0.75 of a core, a node completes its start 0.5 to 0.7 s
+   * after the start of its process.
    */
-  private static final long RETURN_MILLIS = 600;
+  private static final long RESUME_MILLIS = 600;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -43,13 +43,15 @@
   /**
    * Creates a controller.
    *
-   * @param blackboard where to write
-   * @param records reads the operators' rows
+   * @param blackboard shared state to update
+   * @param records parser of the operators' rows
    * @param time clock
-   * @param startedAtMillis monotonic time at which the process began, as far as it can tell
-   * @param weightsBound longest time after new weights were named in which older ones may serve
-   * @param catchUp time after a start or a break from which the node is held to every bound
-   * @param onConfiguration runs once a newer configuration is in force
+   * @param startedAtMillis monotonic time at which the first code of the process ran
+   * @param weightsBound longest time for which older weights may serve after a new target version
+   *     was set
+   * @param catchUp time after a start or an interruption at which every time bound applies to the
+   *     node again
+   * @param onConfiguration called after a newer configuration took effect
    */
   OperatorController(
       GatewayBlackboard blackboard,
@@ -64,7 +66,7 @@
     this.time = time;
     this.startedAtMillis = startedAtMillis;
     this.onConfiguration = onConfiguration;
-    this.estimatedAgeMillis = weightsBound.minus(catchUp).toMillis() + RETURN_MILLIS;
+    this.estimatedAgeMillis = weightsBound.minus(catchUp).toMillis() + RESUME_MILLIS;
   }
 
   @Override
@@ -84,8 +86,8 @@
     for (OperatorRecord each : records) {
       if (each instanceof OperatorRecord.Configured configured) {
         newest = newerOf(newest, configured.configuration());
-      } else if (each instanceof OperatorRecord.WeightsNamed named) {
-        weights.merge(named.model(), named.version(), Math::max);
+      } else if (each instanceof OperatorRecord.WeightsNamed target) {
+        weights.merge(target.model(), target.version(), Math::max);
       }
     }
     publishWeights(weights);
@@ -104,17 +106,17 @@
   private void publishWeights(Map<String, Long> newest) {
     long now = time.monotonicMillis();
     NamedWeights known = blackboard.weights().value();
-    // What was named while this node could not look may be due already. It counts such a version
-    // from where the bound is reached just when the node is held to it, however long the bound is:
-    // a fixed age would let a node that has just started serve on old weights past the bound.
+    // A version that was set while this node could not read the table may be due already. Its age
+    // is estimated such that it becomes due just when the bound applies to the node again, whatever
+    // the bound. With a fixed age, a restarted node could serve old weights beyond the bound.
     boolean first = lastProofMillis == NEVER;
     long estimate = (first ? startedAtMillis : now) - estimatedAgeMillis;
-    boolean witnessed = lastProofMillis >= estimate;
-    long notBefore = witnessed ? lastProofMillis : estimate;
-    newest.forEach((model, version) -> logNew(known, model, version, now - notBefore, !witnessed));
-    NamedWeights named =
-        witnessed ? known.with(newest, notBefore) : known.withEstimate(newest, notBefore);
-    blackboard.weights().publish(named, notBefore);
+    boolean observed = lastProofMillis >= estimate;
+    long notBefore = observed ? lastProofMillis : estimate;
+    newest.forEach((model, version) -> logNew(known, model, version, now - notBefore, !observed));
+    NamedWeights targets =
+        observed ? known.with(newest, notBefore) : known.withEstimate(newest, notBefore);
+    blackboard.weights().publish(targets, notBefore);
   }
 
   private static void logNew(
@@ -129,10 +131,10 @@
     }
   }
 
-  /** Takes in when other nodes saw the versions of a model named. */
-  void onWitnessed(String model, List<NamedVersion> witnessed) {
+  /** Merges the times at which other nodes observed that target versions of a model were set. */
+  void onObservedByPeers(String model, List<NamedVersion> versions) {
     NamedWeights known = blackboard.weights().value();
-    NamedWeights merged = known.withWitnessed(model, witnessed);
+    NamedWeights merged = known.withWitnessed(model, versions);
     if (merged.versionsOf(model).equals(known.versionsOf(model))) {
       return;
     }
@@ -141,7 +143,7 @@
         model,
         merged.versionsOf(model).stream().map(NamedVersion::version).toList(),
         merged.versionsOf(model).stream()
-            .map(named -> time.monotonicMillis() - named.notBeforeMillis())
+            .map(version -> time.monotonicMillis() - version.notBeforeMillis())
             .toList());
     blackboard.weights().publish(merged, time.monotonicMillis());
   }
--- a/gateway/src/main/java/org/lockdale/gateway/node/PeersHandler.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/PeersHandler.java
@@ -8,7 +8,7 @@
 import org.lockdale.http.HttpProtocolError;
 import org.lockdale.http.HttpReply;
 
-/** What is served on the address for other nodes, by path. */
+/** Routes HTTP requests on the peers' address to the handler of their path. */
 final class PeersHandler implements HttpHandler {
 
   private final TableSliceHandler tables;
@@ -45,9 +45,9 @@
     if (path.equals(SuspectListHandler.PATH)) {
       return suspects;
     }
-    boolean held =
+    boolean quarantined =
         path.equals(QuarantineHandler.PATH) || path.startsWith(QuarantineHandler.PATH + "/");
-    return held ? quarantine : tables;
+    return quarantined ? quarantine : tables;
   }
 
   @Override
--- a/gateway/src/main/java/org/lockdale/gateway/node/ReadinessHandler.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/ReadinessHandler.java
@@ -8,8 +8,8 @@
 import org.lockdale.http.HttpReply;
 
 /**
- * Tells whether new connections should come here: once configuration and back ends are known, while
- * there is room for more connections, and until the node stops.
+ * Answers readiness checks. A node is ready once it knows its configuration and at least one
+ * backend, while it can accept more connections, and until it stops.
  */
 final class ReadinessHandler implements HttpHandler {
 
@@ -22,8 +22,8 @@
   /**
    * Creates a handler.
    *
-   * @param blackboard what the node believes
-   * @param hasRoom whether new connections of callers are served
+   * @param blackboard shared state of the node
+   * @param hasRoom whether more connections of callers can be accepted
    */
   ReadinessHandler(GatewayBlackboard blackboard, BooleanSupplier hasRoom) {
     this.blackboard = blackboard;
--- a/gateway/src/main/java/org/lockdale/gateway/node/SuspensionLog.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/SuspensionLog.java
@@ -3,7 +3,7 @@
 import org.lockdale.coordination.time.Time;
 import org.tinylog.Logger;
 
-/** Logs that the machine was suspended. Not safe for use by several threads. */
+/** Logs suspensions of the machine. Not safe for use by several threads. */
 final class SuspensionLog {
 
   private final Time time;
@@ -13,7 +13,7 @@
     this.time = time;
   }
 
-  /** Logs what has been added since the last call. */
+  /** Logs the time for which the machine was suspended since the last call, if any. */
   void tick() {
     long suspended = time.suspendedMillis();
     if (suspended > loggedMillis) {
--- a/gateway/src/main/java/org/lockdale/gateway/node/TableFollowers.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/TableFollowers.java
@@ -7,28 +7,31 @@
 import org.lockdale.gateway.table.TableFollower;
 
 /**
- * A node's copies of tables, and how each is followed.
+ * The followers of the tables that a node copies.
  *
- * @param operators what operators write; its proof is what keys are trusted by
- * @param backends what back ends write
- * @param cluster what nodes tell each other
+ * @param operators table that operators write; API keys are trusted on the strength of its proofs
+ * @param backends table that backends write
+ * @param cluster table that the nodes write
  */
 record TableFollowers(TableFollower operators, TableFollower backends, TableFollower cluster) {
 
-  /** Tables whose proofs nobody needs are asked for with waits this many times as long. */
-  private static final int QUIET_TABLE_WAITS = 2;
+  /**
+   * The proofs of the other two tables authorize no keys, so their polls wait longer by this
+   * factor.
+   */
+  private static final int RELAXED_WAIT_FACTOR = 2;
 
-  /** Back ends write their records in bursts, as during a rollout. */
-  private static final Duration BACKEND_CHANGES_GATHER = Duration.ofMillis(250);
+  /** Backends write their records in bursts, for example during a rollout. */
+  private static final Duration BACKEND_BATCH_DELAY = Duration.ofMillis(250);
 
   /**
-   * The store is out of reach if it proves nothing for the longest wait and this time: an answer
-   * takes some milliseconds, and what back ends write is gathered before the next call.
+   * Time without a proof, beyond the longest wait, after which the store counts as unreachable. A
+   * response takes some milliseconds, and the writes of backends are batched before the next call.
    */
   private static final Duration OUTAGE_MARGIN = Duration.ofMillis(500);
 
-  /** Nodes announce themselves in bursts, as after a start of all. */
-  private static final Duration CLUSTER_CHANGES_GATHER = Duration.ofMillis(400);
+  /** Nodes announce themselves in bursts, for example after a restart of all nodes. */
+  private static final Duration CLUSTER_BATCH_DELAY = Duration.ofMillis(400);
 
   static TableFollowers of(
       EventLoop eventLoop,
@@ -46,26 +49,28 @@
             Duration.ZERO);
     TableFollower.Plan backendPlan =
         new TableFollower.Plan(
-            protocols.records().backendTable(), quietWait(settings), BACKEND_CHANGES_GATHER);
+            protocols.records().backendTable(), relaxedWait(settings), BACKEND_BATCH_DELAY);
     TableFollower.Plan clusterPlan =
         new TableFollower.Plan(
-            protocols.clusterTable().table(), quietWait(settings), CLUSTER_CHANGES_GATHER);
+            protocols.clusterTable().table(), relaxedWait(settings), CLUSTER_BATCH_DELAY);
     return new TableFollowers(
         new TableFollower(eventLoop, sources, operatorPlan, time, operators),
         new TableFollower(eventLoop, sources, backendPlan, time, backends),
         new TableFollower(eventLoop, sources, clusterPlan, time, cluster));
   }
 
-  private static Duration quietWait(GatewaySettings settings) {
-    return settings.get(GatewaySettings.STORE_WAIT).multipliedBy(QUIET_TABLE_WAITS);
+  private static Duration relaxedWait(GatewaySettings settings) {
+    return settings.get(GatewaySettings.STORE_WAIT).multipliedBy(RELAXED_WAIT_FACTOR);
   }
 
-  /** Returns the time without a proof of the back ends from which on the store is out of reach. */
-  static Duration outage(GatewaySettings settings) {
-    return quietWait(settings).plus(OUTAGE_MARGIN);
+  /**
+   * Returns the time without a proof of the backends' table after which the store is unreachable.
+   */
+  static Duration outageThreshold(GatewaySettings settings) {
+    return relaxedWait(settings).plus(OUTAGE_MARGIN);
   }
 
-  /** Returns all of them, that of the operators first. */
+  /** Returns all followers, that of the operators' table first. */
   List<TableFollower> all() {
     return List.of(operators, backends, cluster);
   }
--- a/gateway/src/main/java/org/lockdale/gateway/node/WeightsRecorder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/TargetVersionRecorder.java
@@ -20,17 +20,17 @@
 import org.tinylog.Logger;
 
 /**
- * Records in the nodes' own table when weights were named, and reads what is recorded. The row that
- * names weights does not tell its time; without the record a node that starts would have to guess
- * it, and would guess otherwise than the nodes that were there. One write for each version of a
- * model. Runs on one event loop.
+ * Records in the cluster table when target versions of weights were set, and reads these records.
+ * The operators' row that sets a version holds no time. Without the record, a node that starts
+ * would have to estimate it, and would differ from the nodes that observed the change. Writes once
+ * for each version of a model. Runs on one event loop.
  */
-final class WeightsRecorder {
+final class TargetVersionRecorder {
 
-  /** Versions of a model that are recorded; older ones have long been due. */
+  /** Maximum number of versions recorded for a model; older ones have long been due. */
   private static final int MAX_RECORDED = 16;
 
-  /** A write that failed is repeated after this time at first, twice as long each time. */
+  /** Delay of the first retry of a failed write; it doubles with each further failure. */
   private static final long FIRST_RETRY_MILLIS = 500;
 
   private static final long MAX_RETRY_MILLIS = 8_000;
@@ -42,7 +42,7 @@
   private final Executor eventLoop;
   private final Time time;
 
-  /** Recorded times by the store's clock, by model and version. */
+  /** Recorded times in milliseconds of the store's clock, by model and version. */
   private final Map<String, TreeMap<Long, Long>> recorded = new HashMap<>();
 
   private final Set<String> writing = new HashSet<>();
@@ -52,14 +52,14 @@
   /**
    * Creates a recorder.
    *
-   * @param weights versions that operators have named
-   * @param table where they are recorded
-   * @param clock the store's clock
-   * @param responsible whether this node records at present; more than one does no harm
-   * @param eventLoop runs the recorder
+   * @param weights target versions that operators have set
+   * @param table table in which they are recorded
+   * @param clock converts between the store's clock and the clock of this node
+   * @param responsible whether this node currently records; it is harmless if several nodes do
+   * @param eventLoop event loop that runs the recorder
    * @param time clock
    */
-  WeightsRecorder(
+  TargetVersionRecorder(
       Section<NamedWeights> weights,
       ClusterTable table,
       StoreClock clock,
@@ -74,26 +74,26 @@
     this.time = time;
   }
 
-  /** Takes in what is recorded, and returns it by the clock of this node. */
-  List<NamedVersion> observed(RecordedWeights row) {
+  /** Processes a row of the table and returns its versions with times of this node's clock. */
+  List<NamedVersion> observe(RecordedWeights row) {
     long now = time.monotonicMillis();
     TreeMap<Long, Long> known = recordedOf(row.model());
-    List<NamedVersion> witnessed = new ArrayList<>();
+    List<NamedVersion> versions = new ArrayList<>();
     for (RecordedWeights.Naming naming : row.namings()) {
       known.put(naming.version(), naming.notBeforeStoreMillis());
-      // Nothing was named later than it was read, whatever the writer's clock said.
+      // A version can't have been set after it was read, whatever time the writer recorded.
       long notBefore = Math.min(now, clock.localMillis(naming.notBeforeStoreMillis()));
-      witnessed.add(new NamedVersion(naming.version(), notBefore, false));
+      versions.add(new NamedVersion(naming.version(), notBefore, false));
     }
-    return witnessed;
+    return versions;
   }
 
   /**
-   * Takes in that the store has come back from an older copy: what it lacks is recorded again.
+   * Processes a restore of the store from an older copy. Versions that it lacks are recorded again.
    *
-   * @param rows what it holds
+   * @param rows records that the store holds now
    */
-  void historyReplaced(List<RecordedWeights> rows) {
+  void onHistoryReplaced(List<RecordedWeights> rows) {
     recorded.clear();
     rows.forEach(
         row ->
@@ -108,15 +108,15 @@
     return recorded.computeIfAbsent(model, name -> new TreeMap<>());
   }
 
-  /** Records what is not recorded yet; to be called from time to time. */
+  /** Records versions that are not yet recorded. Must be called periodically. */
   void tick() {
     if (!responsible.getAsBoolean() || time.monotonicMillis() < retryAtMillis) {
       return;
     }
-    NamedWeights named = weights.value();
-    for (String model : named.models()) {
+    NamedWeights targets = weights.value();
+    for (String model : targets.models()) {
       TreeMap<Long, Long> complete = new TreeMap<>(recordedOf(model));
-      for (NamedVersion version : named.versionsOf(model)) {
+      for (NamedVersion version : targets.versionsOf(model)) {
         if (!version.estimated()) {
           complete.computeIfAbsent(
               version.version(), unrecorded -> clock.storeMillis(version.notBeforeMillis()));
@@ -138,10 +138,10 @@
     writing.add(model);
     table
         .record(new RecordedWeights(model, namings))
-        .whenCompleteAsync((done, failure) -> written(model, times, failure), eventLoop);
+        .whenCompleteAsync((done, failure) -> onWritten(model, times, failure), eventLoop);
   }
 
-  private void written(String model, TreeMap<Long, Long> times, @Nullable Throwable failure) {
+  private void onWritten(String model, TreeMap<Long, Long> times, @Nullable Throwable failure) {
     writing.remove(model);
     if (failure == null) {
       recordedOf(model).putAll(times);
--- a/gateway/src/main/java/org/lockdale/gateway/node/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/package-info.java
@@ -1,4 +1,4 @@
-/** The daemon: settings, wiring, readiness, planned stop. */
+/** The gateway daemon: its settings, assembly, readiness checks and planned stop. */
 @NullMarked
 package org.lockdale.gateway.node;
 
--- a/gateway/src/main/java/org/lockdale/gateway/table/StoreClock.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/StoreClock.java
@@ -22,7 +22,7 @@
    * @param storeMillis the store's clock as the answer tells it
    * @param sentAtMillis monotonic time at which the call was sent
    */
-  public synchronized void observed(long storeMillis, long sentAtMillis) {
+  public synchronized void observe(long storeMillis, long sentAtMillis) {
     if (sentAtMillis - windowStartMillis > WINDOW_MILLIS) {
       windowStartMillis = sentAtMillis;
       offsetBefore = offset;
--- a/gateway/src/main/java/org/lockdale/gateway/table/TableFollower.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/TableFollower.java
@@ -230,7 +230,7 @@
   }
 
   private void applyChanges(TablePage page, long sentAtMillis) {
-    sources.clock().observed(page.storeMillis(), sentAtMillis);
+    sources.clock().observe(page.storeMillis(), sentAtMillis);
     followedTo = Math.max(followedTo, page.version());
     copy.apply(page.rows());
   }
@@ -247,7 +247,7 @@
     }
     copy.accept(changes);
     followedTo = Math.max(followedTo, changes.lastChange());
-    sources.clock().observed(answer.storeMillis(), sentAtMillis - answer.ageMillis());
+    sources.clock().observe(answer.storeMillis(), sentAtMillis - answer.ageMillis());
     // The answer was written after it was asked for, so its proof is no older than its age now.
     prove(answer.storeMillis(), sentAtMillis - answer.ageMillis(), true);
   }
@@ -298,7 +298,7 @@
                 retry(failure, this::scan);
                 return;
               }
-              sources.clock().observed(page.storeMillis(), sentAtMillis);
+              sources.clock().observe(page.storeMillis(), sentAtMillis);
               page.rows().forEach(row -> collected.put(row.key(), row));
               // Changes made between two pages come again with the feed from the first page on.
               long since = fromKey == null ? page.version() : startVersion;
--- a/gateway/src/test/java/org/lockdale/gateway/node/GatewaySettingsTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/node/GatewaySettingsTest.java
@@ -13,10 +13,10 @@
 import org.lockdale.settings.SettingsException;
 import org.testng.annotations.Test;
 
-/** Settings of a gateway are checked as a whole, and their page is that of the declarations. */
+/** Settings are validated together, and the reference page matches their declarations. */
 public final class GatewaySettingsTest {
 
-  private static Map<String, String> good() {
+  private static Map<String, String> validFlags() {
     Map<String, String> flags = new HashMap<>();
     flags.put("node.id", "node-1");
     flags.put("node.zone", "zone-a");
@@ -29,14 +29,14 @@
 
   @Test
   public void goodSettingsHaveTheirDefaults() {
-    GatewaySettings settings = GatewaySettings.load(null, good());
+    GatewaySettings settings = GatewaySettings.load(null, validFlags());
     assertEquals(settings.get(GatewaySettings.NODE_ID), "node-1");
     assertEquals(settings.get(GatewaySettings.STORE_WAIT), Duration.ofSeconds(1));
   }
 
   @Test
   public void boundsMayBeWrittenWithFractions() {
-    Map<String, String> flags = good();
+    Map<String, String> flags = validFlags();
     flags.put("stop.grace", "8.0s");
     flags.put("weights.bound", "7500.5ms");
     flags.put("retries.allowance", "198.0");
@@ -48,7 +48,7 @@
 
   @Test
   public void everyProblemIsReportedAtOnceWithItsRemedy() {
-    Map<String, String> flags = good();
+    Map<String, String> flags = validFlags();
     flags.remove("store.address");
     flags.put("retries.ratio", "2");
     flags.put("node.thread", "1");
--- a/gateway/src/test/java/org/lockdale/gateway/node/OperatorControllerTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/node/OperatorControllerTest.java
@@ -17,16 +17,16 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** How old a node takes weights for that operators have named. */
+/** Checks when a node requires a target version, depending on when it could have been set. */
 public final class OperatorControllerTest {
 
   private static final String MODEL = "model";
   private static final long START = 100_000;
 
-  /** Longest time in which older weights may serve; other than the default on purpose. */
+  /** Longest time for which older weights may serve, in milliseconds; differs from the default. */
   private static final long BOUND = 10_000;
 
-  /** Time after its start from which a node is held to every bound. */
+  /** Time in milliseconds after its start at which every time bound applies to a node. */
   private static final long CATCH_UP = 3_000;
 
   private final WeightsPolicy policy = new WeightsPolicy(BOUND);
@@ -34,7 +34,7 @@
   private OperatorController controller;
   private long now;
 
-  /** Rows whose key is a model and whose value is the version of its weights. */
+  /** Reads rows whose key is a model and whose value is the target version of its weights. */
   private static final class WeightsRows implements SharedRecords {
     @Override
     public String operatorTable() {
@@ -54,7 +54,7 @@
 
     @Override
     public Backend backend(TableRowChange row) {
-      throw new IllegalArgumentException("no row of this table is a back end");
+      throw new IllegalArgumentException("the table holds no backends");
     }
   }
 
@@ -96,18 +96,19 @@
   }
 
   /**
-   * A restarted node reads that weights were named, and not when. It is held to the bound from
-   * {@link #CATCH_UP} after its start, whatever the bound is; the weights may be as old as that.
+   * A restarted node reads which version is set, but not since when. From {@link #CATCH_UP} after
+   * its start the bound applies to it, however long the bound is, so a version found at the start
+   * must be required by then.
    */
   @Test
-  public void whatANodeFindsAtItsStartIsDueOnceTheNodeIsHeldToTheBound() {
+  public void aVersionFoundAtStartIsRequiredOnceTheBoundApplies() {
     read(2);
     now = START + CATCH_UP;
     assertEquals(required(), Long.valueOf(2));
   }
 
   @Test
-  public void whatANodeFindsAfterABreakIsDueOnceTheNodeIsHeldToTheBoundAgain() {
+  public void aVersionFoundAfterAnInterruptionIsRequiredOnceTheBoundAppliesAgain() {
     read(1);
     now += 60_000;
     read(2);
@@ -116,7 +117,7 @@
   }
 
   @Test
-  public void whatIsNamedBeforeTheEyesOfANodeIsDueShortlyBeforeTheBound() {
+  public void aVersionWhoseChangeANodeObservedIsRequiredShortlyBeforeTheBound() {
     read(1);
     now = START + 20_000;
     controller.onTable(Map.of(), false, now);
@@ -129,7 +130,7 @@
   }
 
   @Test
-  public void nothingIsRequiredBeforeAnythingWasNamed() {
+  public void noVersionIsRequiredBeforeOneIsSet() {
     assertNull(required());
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/node/SuspensionTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/node/SuspensionTest.java
@@ -21,8 +21,8 @@
 import org.testng.annotations.Test;
 
 /**
- * A machine that was suspended wakes with beliefs that are older than its steady clock says. What
- * rests on time must know it at the first look at the clock.
+ * After a suspension of the machine, cached state is older than the steady clock shows. Everything
+ * that depends on its age must account for the suspension at the first reading of the clock.
  */
 public final class SuspensionTest {
 
@@ -48,7 +48,7 @@
     wallMillis += millis;
   }
 
-  /** The steady clock stands still, and a millisecond passes until the clock is read. */
+  /** Simulates a suspension: the steady clock stops; one millisecond passes before it is read. */
   private long wake() {
     wallMillis += SUSPENDED_MILLIS;
     pass(1);
@@ -56,14 +56,14 @@
   }
 
   @Test
-  public void theProofOfTheKeysHasAged() {
+  public void theProofOfTheConfigurationHasAged() {
     Section<String> configuration = new Section<>("none");
     configuration.publish("keys", time.monotonicMillis());
     assertTrue(configuration.snapshot().ageMillis(wake()) >= SUSPENDED_MILLIS);
   }
 
   @Test
-  public void aLeaseThatRanOutMeanwhileIsNotActedUnder() {
+  public void aLeaseThatExpiredDuringTheSuspensionPermitsNothing() {
     Lease lease = new Lease("self", 1_500, 3_000);
     long now = time.monotonicMillis();
     LeaseRow row = new LeaseRow("self", STORE_AHEAD_MILLIS + 1_500);
@@ -73,27 +73,27 @@
   }
 
   @Test
-  public void aProofByTheStoresClockIsNotTakenForNewerThanItIs() {
+  public void aProofOfTheStoresClockIsNotDatedTooLate() {
     StoreClock clock = new StoreClock();
     long asked = time.monotonicMillis();
-    clock.observed(STORE_AHEAD_MILLIS, asked);
+    clock.observe(STORE_AHEAD_MILLIS, asked);
     long now = wake();
     assertTrue(now - clock.localMillis(STORE_AHEAD_MILLIS) >= SUSPENDED_MILLIS);
-    // The store's clock went on, and answers from now on fit what was known before.
-    clock.observed(STORE_AHEAD_MILLIS + SUSPENDED_MILLIS + 1, now);
+    // The store's clock kept running, so later responses agree with the earlier offset.
+    clock.observe(STORE_AHEAD_MILLIS + SUSPENDED_MILLIS + 1, now);
     assertEquals(clock.localMillis(STORE_AHEAD_MILLIS + SUSPENDED_MILLIS + 1), now);
   }
 
   @Test
-  public void weightsThatWereNamedBeforeAreDue() {
-    NamedWeights named = NamedWeights.NONE.with(Map.of(MODEL, 2L), time.monotonicMillis());
+  public void targetVersionsSetBeforeTheSuspensionAreRequired() {
+    NamedWeights targets = NamedWeights.NONE.with(Map.of(MODEL, 2L), time.monotonicMillis());
     WeightsPolicy policy = new WeightsPolicy(SUSPENDED_MILLIS);
-    assertNull(policy.requiredVersion(named, MODEL, time.monotonicMillis()));
-    assertEquals(policy.requiredVersion(named, MODEL, wake()), Long.valueOf(2));
+    assertNull(policy.requiredVersion(targets, MODEL, time.monotonicMillis()));
+    assertEquals(policy.requiredVersion(targets, MODEL, wake()), Long.valueOf(2));
   }
 
   @Test
-  public void relaysThatWereNotHeardMeanwhileAreNotReliedOn() {
+  public void relaysWithoutRecentHeartbeatsAreNotUsed() {
     RelayElection election = new RelayElection("self", 2_000);
     long now = time.monotonicMillis();
     InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
@@ -103,7 +103,7 @@
   }
 
   @Test
-  public void silenceOfAConnectionDoesNotCountTheSuspension() {
+  public void theIdleTimeOfAConnectionExcludesTheSuspension() {
     long heard = time.steadyMillis();
     wake();
     assertEquals(time.steadyMillis() - heard, 1);
--- a/gateway/src/test/java/org/lockdale/gateway/table/StoreClockTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/table/StoreClockTest.java
@@ -17,9 +17,9 @@
   @Test
   public void theFastestAnswerCounts() {
     StoreClock clock = new StoreClock();
-    clock.observed(10_000, 100);
-    clock.observed(10_500, 990);
-    clock.observed(11_000, 1_100);
+    clock.observe(10_000, 100);
+    clock.observe(10_500, 990);
+    clock.observe(11_000, 1_100);
     assertEquals(clock.localMillis(11_000), 1_490);
   }
 
@@ -33,7 +33,7 @@
       for (int call = 0; call < 200; call++) {
         long sentAt = now;
         long answeredAt = sentAt + random.nextInt(3_000);
-        clock.observed(answeredAt + difference, sentAt);
+        clock.observe(answeredAt + difference, sentAt);
         now += random.nextInt(10_000);
         long proof = random.nextInt(100_000);
         assertTrue(clock.localMillis(proof + difference) <= proof, "seed " + seed);
