--- a/gateway/src/main/java/org/lockdale/gateway/table/RowReader.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/RowReader.java
@@ -9,21 +9,21 @@
 import org.tinylog.Logger;
 
 /**
- * Reads the rows of a table into records, each version of a row once. A table of hundreds of rows
- * changes a row at a time, so reading all of them again would cost hundreds of times what is new.
- * Not safe for use by several threads.
+ * Parses the rows of a table into records, each version of a row once. A table of hundreds of rows
+ * changes one row at a time, so parsing all of them again would cost hundreds of times as much. Not
+ * safe for use by several threads.
  *
  * @param <T> type of the records
  */
 public final class RowReader<T> {
 
   /**
-   * Rejected rows that are logged in one reading; a table is read a few times a second. Another
-   * writer may put thousands of rows there.
+   * Maximum number of rejected rows that one reading logs. A table is read a few times a second,
+   * and a foreign writer may put thousands of rows into it.
    */
   private static final int MAX_LOGGED = 3;
 
-  /** Longest text of a rejected row that is logged, in characters. */
+  /** Maximum length of a logged text of a rejected row, in characters. */
   private static final int MAX_LOGGED_TEXT = 200;
 
   private record Reading<T>(long version, Optional<T> record) {}
@@ -34,14 +34,17 @@
   /**
    * Creates a reader.
    *
-   * @param parser reads a row, or returns empty for a row of no interest; throws {@link
-   *     MalformedRecordException} for one that can't be read
+   * @param parser parses a row; returns empty for a row to skip, and throws {@link
+   *     MalformedRecordException} for one that can't be parsed
    */
   public RowReader(Function<TableRowChange, Optional<T>> parser) {
     this.parser = parser;
   }
 
-  /** Returns the records of all rows that can be read; one that can't be is logged once. */
+  /**
+   * Returns the records of all rows that can be parsed. A version of a row that can't be parsed is
+   * skipped, and logged at most once.
+   */
   public List<T> read(Map<String, TableRowChange> rows) {
     Map<String, Reading<T>> current = new HashMap<>();
     List<T> records = new ArrayList<>(rows.size());
@@ -78,7 +81,7 @@
     }
   }
 
-  /** Returns one short line, whatever bytes another writer has put into a row. */
+  /** Returns a text as one short line of printable ASCII; rows may contain any bytes. */
   private static String printable(String text) {
     String start = text.length() <= MAX_LOGGED_TEXT ? text : text.substring(0, MAX_LOGGED_TEXT);
     return start.replaceAll("[^\\x20-\\x7e]", "?");
--- a/gateway/src/main/java/org/lockdale/gateway/table/SharedRecords.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/SharedRecords.java
@@ -4,27 +4,27 @@
 import org.lockdale.gateway.backend.Backend;
 import org.lockdale.gateway.configuration.OperatorRecord;
 
-/** Port of what operators and back ends write into the shared store. */
+/** Port for parsing the rows that operators and backends write into the shared store. */
 public interface SharedRecords {
 
   /** Returns the name of the operators' table. */
   String operatorTable();
 
-  /** Returns the name of the back ends' table. */
+  /** Returns the name of the backends' table. */
   String backendTable();
 
   /**
-   * Reads a row of the operators' table.
+   * Parses a row of the operators' table.
    *
-   * @return what the row says, or empty for a row of no interest
-   * @throws MalformedRecordException if it can't be read
+   * @return the record, or empty for a row of another kind
+   * @throws MalformedRecordException if the row can't be parsed
    */
   Optional<OperatorRecord> operatorRecord(TableRowChange row);
 
   /**
-   * Reads the record of a back end.
+   * Parses a row of the backends' table.
    *
-   * @throws MalformedRecordException if it can't be read
+   * @throws MalformedRecordException if the row can't be parsed
    */
   Backend backend(TableRowChange row);
 }
--- a/gateway/src/main/java/org/lockdale/gateway/table/TableChanges.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/TableChanges.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Changes of a table, or all of it, as one copy of it knows them.
+ * Changes of a table, or all of its rows, taken from one copy of it.
  *
- * @param whole whether rows that are not named are gone
- * @param lastChange version up to which all changes are in
- * @param rows rows and removals
+ * @param whole whether these are all rows of the table, so that rows not listed were removed
+ * @param lastChange version of the store up to which all changes are included
+ * @param rows changed and removed rows
  */
 public record TableChanges(boolean whole, long lastChange, List<TableRowChange> rows) {}
--- a/gateway/src/main/java/org/lockdale/gateway/table/TableCopy.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/TableCopy.java
@@ -10,55 +10,57 @@
 import org.lockdale.coordination.table.StoreVersion;
 
 /**
- * Copy of one table, without I/O. Invariant: the copy holds all changes up to {@link #lastChange},
- * and no row in it is ever replaced by an older reading. Not safe for use by several threads.
+ * Copy of one table. Invariant: the copy holds all changes up to {@link #lastChange}, and no row in
+ * it is ever replaced by an older version. A state machine without I/O; not safe for use by several
+ * threads.
  */
 final class TableCopy {
 
-  /** Removals beyond this number are forgotten; who needs older ones reads the table whole. */
+  /** Maximum number of removals kept. A node that lacks older ones needs all rows of the table. */
   private static final int MAX_REMOVALS = 2_048;
 
   /**
-   * Rows up to which a whole copy is told: some 70 KB in the fleets on record, of 66 to 107 back
-   * ends, which a link of 7 Mbit a second carries in 0.08 s.
+   * Maximum number of rows sent to a node that could read them from the store instead. Deployments
+   * with 66 to 107 backends stay below it: all their rows are about 70 KB, which a link of 7 Mbit/s
+   * carries in 0.08 s.
    */
-  private static final int MOST_TOLD_ROWS = 256;
+  private static final int MAX_ROWS_TO_SEND = 256;
 
-  /** Version of a copy that was never read. */
+  /** Version of a copy into which nothing was read yet. */
   static final long UNKNOWN = -1;
 
   private final Map<String, TableRowChange> rows = new HashMap<>();
   private final Map<String, TableRowChange> removals = new LinkedHashMap<>();
   private long lastChange = UNKNOWN;
-  private long historyFrom = UNKNOWN;
+  private long changesHeldSince = UNKNOWN;
 
-  /** Returns all rows by key; the view changes with the copy. */
+  /** Returns an unmodifiable live view of all rows by key. */
   Map<String, TableRowChange> rows() {
     return Collections.unmodifiableMap(rows);
   }
 
-  /** Returns the version up to which all changes are in, or {@link #UNKNOWN}. */
+  /** Returns the version up to which the copy holds all changes, or {@link #UNKNOWN}. */
   long lastChange() {
     return lastChange;
   }
 
   /**
-   * Takes in a reading of the whole table. One that is older than the copy adds what it has, but
-   * removes nothing, since what it lacks may have come later. One of a former history of the store
-   * changes nothing: what only that one has was lost with it.
+   * Applies a reading of the whole table. A reading older than the copy adds and updates rows, but
+   * removes none, since rows that it lacks may have been added later. A reading from a former era
+   * of the store is ignored: the restore of the store discarded what only that reading holds.
    *
    * @param whole all rows by key
-   * @param version version of the store at the reading
+   * @param version version of the store at the time of the reading
    */
   void replace(Map<String, TableRowChange> whole, long version) {
-    if (isOfFormerHistory(version)) {
+    if (isFromFormerEra(version)) {
       return;
     }
     if (version >= lastChange) {
       rows.keySet().retainAll(whole.keySet());
       removals.clear();
       lastChange = version;
-      historyFrom = version;
+      changesHeldSince = version;
     }
     for (TableRowChange row : whole.values()) {
       TableRowChange removal = removals.get(row.key());
@@ -68,7 +70,7 @@
     }
   }
 
-  private boolean isOfFormerHistory(long version) {
+  private boolean isFromFormerEra(long version) {
     return lastChange != UNKNOWN
         && StoreVersion.ofPacked(version).era() < StoreVersion.ofPacked(lastChange).era();
   }
@@ -77,10 +79,10 @@
     return before.version() > row.version() ? before : row;
   }
 
-  /** Takes in changes that follow what is known; those of a former history change nothing. */
+  /** Applies changes that follow those in the copy. Changes from a former era are ignored. */
   void apply(List<TableRowChange> changes) {
     for (TableRowChange change : changes) {
-      if (isOfFormerHistory(change.version())) {
+      if (isFromFormerEra(change.version())) {
         continue;
       }
       TableRowChange before = rows.get(change.key());
@@ -101,12 +103,12 @@
     removals.put(change.key(), change);
     if (removals.size() > MAX_REMOVALS) {
       Iterator<TableRowChange> oldest = removals.values().iterator();
-      historyFrom = Math.max(historyFrom, oldest.next().version());
+      changesHeldSince = Math.max(changesHeldSince, oldest.next().version());
       oldest.remove();
     }
   }
 
-  /** Takes in what another copy of the table told; what is older than this copy is ignored. */
+  /** Applies changes from another copy of the table. They are ignored if older than this copy. */
   void accept(TableChanges changes) {
     if (changes.lastChange() < lastChange) {
       return;
@@ -122,17 +124,19 @@
   }
 
   /**
-   * Returns whether so much changed after a version that to tell it to each node would fill a link.
-   * Where this copy no longer knows what changed, that is all rows: 115 MB for 300 nodes,
-   * calculated, of which half lack one row of 3,000 after a start of all. Where 3,000 servers start
-   * with the nodes it is their entries, 230 MB for 300 nodes, calculated.
+   * Returns whether the changes after a version are too large to send to each node, since they
+   * would saturate a link. Where this copy no longer holds the changes, they are all rows. By
+   * calculation, that is 115 MB for 300 nodes if half of them lack one row of 3,000 after a restart
+   * of all nodes. If 3,000 servers start together with 300 nodes, the changes alone are 230 MB.
+   * Returns false for {@link #UNKNOWN}, with which nodes request all rows if they have no copy or
+   * the store does not respond.
    */
-  boolean hasTooMuchToTellAfter(long version) {
+  boolean exceedsTransferLimitAfter(long version) {
     if (version == UNKNOWN) {
       return false;
     }
-    long told = version < historyFrom ? rows.size() : changesSince(version);
-    return told > MOST_TOLD_ROWS;
+    long rowsToSend = version < changesHeldSince ? rows.size() : changesSince(version);
+    return rowsToSend > MAX_ROWS_TO_SEND;
   }
 
   private long changesSince(long version) {
@@ -141,16 +145,16 @@
   }
 
   /**
-   * Takes in that all changes up to a version are in, as the store told; what it told was applied
-   * before.
+   * Records that the copy holds all changes up to a version. The changes that the store returned
+   * for it must have been applied before.
    */
   void advanceTo(long version) {
     lastChange = Math.max(lastChange, version);
   }
 
-  /** Returns what changed after a version, or everything where the copy no longer knows that. */
+  /** Returns the changes after a version, or all rows if the copy no longer holds these changes. */
   TableChanges changesAfter(long version) {
-    boolean whole = version < historyFrom;
+    boolean whole = version < changesHeldSince;
     List<TableRowChange> changes = new ArrayList<>();
     for (TableRowChange row : rows.values()) {
       if (whole || row.version() > version) {
--- a/gateway/src/main/java/org/lockdale/gateway/table/TableFeed.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/TableFeed.java
@@ -5,8 +5,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Port of a shared store whose tables can be scanned and followed. Every future fails with a {@link
- * org.lockdale.coordination.table.TableServiceException}.
+ * Port to a shared store whose tables can be scanned and polled for changes. Every future that
+ * fails does so with a {@link org.lockdale.coordination.table.TableServiceException}.
  */
 public interface TableFeed {
 
@@ -14,7 +14,7 @@
    * Reads a page of rows.
    *
    * @param table table name
-   * @param fromKey first key wanted, or null for the start
+   * @param fromKey first key of the page, or null for the start of the table
    */
   CompletableFuture<TablePage> scan(String table, @Nullable String fromKey);
 
@@ -22,11 +22,11 @@
    * Waits for changes.
    *
    * @param table table name
-   * @param afterVersion version of the store after which changes are wanted
-   * @param wait longest time to wait for one
-   * @return the changes, none if there were none; fails with {@link
-   *     org.lockdale.coordination.table.TableServiceException.Kind#HISTORY_LOST} where the store
-   *     has forgotten some
+   * @param afterVersion version of the store after which to return changes
+   * @param wait longest time to wait for a change
+   * @return the changes, empty if there were none within the wait; fails with {@link
+   *     org.lockdale.coordination.table.TableServiceException.Kind#HISTORY_LOST} if the store no
+   *     longer holds all of them
    */
   CompletableFuture<TablePage> changes(String table, long afterVersion, Duration wait);
 }
--- a/gateway/src/main/java/org/lockdale/gateway/table/TableFollower.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/TableFollower.java
@@ -15,10 +15,10 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps a copy of a table. At first it scans the table whole. Then it follows the store's changes
- * while it is told to, scanning again where the store has forgotten some; otherwise it reads the
- * changes that a relay announces from that relay. Each answer also proves that the copy was
- * current. Runs on one event loop.
+ * Keeps a copy of a table current. It first scans the whole table. While {@link #follow following}
+ * is enabled, it then polls the store for changes, and scans again if the store no longer holds
+ * some of them. Otherwise a relay announces new versions, and the changes are read from that relay.
+ * Each response also proves that the copy was current at some time. Runs on one event loop.
  */
 public final class TableFollower {
 
@@ -26,55 +26,56 @@
   private static final long MAX_RETRY_MILLIS = 400;
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  /** Receives the copy. */
+  /** Receives the copy and its proofs. */
   @FunctionalInterface
   public interface Listener {
     /**
      * Called after every proof.
      *
-     * @param rows all rows by key; only valid during the call
-     * @param changed whether anything may differ from the last call
+     * @param rows all rows by key; valid only during the call
+     * @param changed whether any row may differ from the last call
      * @param provenAtMillis monotonic time at which the copy was current
      */
     void onTable(Map<String, TableRowChange> rows, boolean changed, long provenAtMillis);
 
     /**
-     * Called before {@link #onTable} where the store has come back from an older copy: rows may be
-     * missing, or be earlier ones, until their writers have written them again.
+     * Called before {@link #onTable} after the store was restored from an older copy. Rows may be
+     * missing or out of date until their writers write them again.
      */
     default void onHistoryReplaced() {}
 
-    /** Called when the store did not answer a call for the table. */
+    /** Called when a call to the store for this table has failed. */
     default void onUnreachable() {}
   }
 
   /**
-   * Where a table is read.
+   * The sources from which a table is read.
    *
-   * @param feed the store
-   * @param peers other nodes
+   * @param feed reads from the store
+   * @param peers reads from other nodes
    * @param clock the store's clock
    */
   public record Sources(TableFeed feed, TablePeers peers, StoreClock clock) {}
 
   /**
-   * How a table is followed.
+   * The parameters for following a table.
    *
    * @param table name of the table
-   * @param longestWait longest time that the store holds a call without changes
-   * @param gather time between two calls to the store after a change, in which further ones come
+   * @param longestWait longest time for which the store holds a call while there are no changes
+   * @param gather pause before the next call to the store after a change, which batches further
+   *     changes
    */
   public record Plan(String table, Duration longestWait, Duration gather) {}
 
   private final EventLoop eventLoop;
   private final Sources sources;
   private final String table;
-  private final Duration wait;
+  private final Duration longestWait;
   private final Duration gather;
   private final Time time;
   private final Listener listener;
   private final TableCopy copy = new TableCopy();
-  private long followedTo;
+  private long readUpTo;
   private long provenStoreMillis;
   private long provenAtMillis = NEVER;
   private long provenEra;
@@ -88,36 +89,36 @@
    * Creates a follower; {@link #start} starts it.
    *
    * @param eventLoop runs the follower and its listener
-   * @param sources where the table is read
-   * @param plan how the table is followed
+   * @param sources sources from which the table is read
+   * @param plan parameters for following the table
    * @param time clock
-   * @param listener receives the copy
+   * @param listener receives the copy and its proofs
    */
   public TableFollower(
       EventLoop eventLoop, Sources sources, Plan plan, Time time, Listener listener) {
     this.eventLoop = eventLoop;
     this.sources = sources;
     this.table = plan.table();
-    this.wait = plan.longestWait();
+    this.longestWait = plan.longestWait();
     this.gather = plan.gather();
     this.time = time;
     this.listener = listener;
   }
 
-  /** Reads the table whole for the first time. */
+  /** Starts to scan the whole table. */
   public void start() {
     eventLoop.execute(this::scan);
   }
 
-  /** Follows the store's changes, or ceases to; to be called on the event loop. */
+  /** Starts or stops polling the store for changes. Must be called on the event loop. */
   public void follow(boolean wanted) {
     following = wanted;
     if (wanted) {
-      next();
+      readNext();
     }
   }
 
-  /** Stops following. */
+  /** Stops all reading; takes effect at the next call. */
   public void close() {
     closed = true;
   }
@@ -127,7 +128,7 @@
     return table;
   }
 
-  /** Returns whether the table was read at least once. */
+  /** Returns whether the table has been read at least once. */
   public boolean isKnown() {
     return copy.lastChange() != TableCopy.UNKNOWN;
   }
@@ -137,29 +138,33 @@
     return provenAtMillis;
   }
 
-  /** Returns the newest proof. */
+  /** Returns the latest proof. */
   public TableProof proof() {
     return new TableProof(table, copy.lastChange(), provenStoreMillis);
   }
 
   /**
-   * Returns whether who knows all changes up to a version had better ask the store; to be called on
-   * the event loop.
+   * Returns whether a node that has all changes up to a version should read the later ones from the
+   * store, since they are too large to send to each node. Must be called on the event loop.
    */
   public boolean hasTooMuchToTellAfter(long version) {
-    return copy.hasTooMuchToTellAfter(version);
+    return copy.exceedsTransferLimitAfter(version);
   }
 
-  /** Returns what changed after a version; to be called on the event loop. */
+  /**
+   * Returns the changes after a version, or all rows if the copy no longer holds these changes.
+   * Must be called on the event loop.
+   */
   public TableChanges changesAfter(long version) {
     return copy.changesAfter(version);
   }
 
   /**
-   * Takes in a proof of a relay, and reads from it what this copy lacks; to be called on the event
-   * loop.
+   * Processes a proof announced by a relay, and reads the changes that this copy lacks from that
+   * relay. Must be called on the event loop.
    *
-   * @return whether the copy is current by the proof, or will be once the relay has answered
+   * @return false if reading from the relay failed; true otherwise, also if the announcement was
+   *     ignored, as while a read from a relay is in progress
    */
   public CompletableFuture<Boolean> announced(InetSocketAddress relay, TableProof proof) {
     if (proof.lastChange() < 0 || peerCallOpen || closed) {
@@ -168,7 +173,7 @@
     if (proof.lastChange() > copy.lastChange()) {
       return readFrom(relay);
     }
-    prove(proof.storeMillis(), sources.clock().localMillis(proof.storeMillis()), false);
+    recordProof(proof.storeMillis(), sources.clock().localMillis(proof.storeMillis()), false);
     return CompletableFuture.completedFuture(true);
   }
 
@@ -178,13 +183,13 @@
         .exceptionallyComposeAsync(
             failure ->
                 Failures.causeOf(failure) instanceof TooMuchToTellException
-                    ? readFromStoreOr(relay)
+                    ? readFromStoreOrRelay(relay)
                     : CompletableFuture.failedFuture(failure),
             eventLoop)
-        .handleAsync((read, failure) -> hasRead(relay, failure), eventLoop);
+        .handleAsync((read, failure) -> onReadFromRelay(relay, failure), eventLoop);
   }
 
-  private boolean hasRead(InetSocketAddress relay, @Nullable Throwable failure) {
+  private boolean onReadFromRelay(InetSocketAddress relay, @Nullable Throwable failure) {
     peerCallOpen = false;
     if (failure != null) {
       Logger.info(
@@ -201,18 +206,21 @@
         .thenAcceptAsync(answer -> accept(answer, sentAtMillis), eventLoop);
   }
 
-  /** Where the store doesn't answer this node, the relay tells all of its copy. */
-  private CompletableFuture<@Nullable Void> readFromStoreOr(InetSocketAddress relay) {
+  /** Reads the changes from the store, or the relay's whole copy if the store doesn't respond. */
+  private CompletableFuture<@Nullable Void> readFromStoreOrRelay(InetSocketAddress relay) {
     long sentAtMillis = time.monotonicMillis();
     return sources
         .feed()
-        .changes(table, followedTo, Duration.ZERO)
+        .changes(table, readUpTo, Duration.ZERO)
         .thenAcceptAsync(page -> acceptFromStore(page, sentAtMillis), eventLoop)
-        .exceptionallyComposeAsync(failure -> readAllAfter(failure, relay), eventLoop);
+        .exceptionallyComposeAsync(failure -> readAllAfterFailure(failure, relay), eventLoop);
   }
 
-  /** All rows are read from the store where it can tell them, since they would fill a link. */
-  private CompletableFuture<@Nullable Void> readAllAfter(
+  /**
+   * Reads all rows: from the relay if the store failed, and otherwise by a scan of the store, since
+   * sending all rows to each node would saturate the relay's link.
+   */
+  private CompletableFuture<@Nullable Void> readAllAfterFailure(
       Throwable failure, InetSocketAddress relay) {
     if (kindOf(failure) != TableServiceException.Kind.HISTORY_LOST) {
       return readFrom(relay, TableCopy.UNKNOWN);
@@ -226,18 +234,18 @@
   private void acceptFromStore(TablePage page, long sentAtMillis) {
     applyChanges(page, sentAtMillis);
     copy.advanceTo(page.version());
-    provenBy(page, sentAtMillis);
+    recordProofOf(page, sentAtMillis);
   }
 
   private void applyChanges(TablePage page, long sentAtMillis) {
     sources.clock().observe(page.storeMillis(), sentAtMillis);
-    followedTo = Math.max(followedTo, page.version());
+    readUpTo = Math.max(readUpTo, page.version());
     copy.apply(page.rows());
   }
 
-  private void provenBy(TablePage page, long sentAtMillis) {
+  private void recordProofOf(TablePage page, long sentAtMillis) {
     long provenAt = Math.max(sentAtMillis, sources.clock().localMillis(page.storeMillis()));
-    prove(page.storeMillis(), provenAt, !page.rows().isEmpty());
+    recordProof(page.storeMillis(), provenAt, !page.rows().isEmpty());
   }
 
   private void accept(TablePeers.Answer answer, long sentAtMillis) {
@@ -246,13 +254,13 @@
       return;
     }
     copy.accept(changes);
-    followedTo = Math.max(followedTo, changes.lastChange());
+    readUpTo = Math.max(readUpTo, changes.lastChange());
     sources.clock().observe(answer.storeMillis(), sentAtMillis - answer.ageMillis());
-    // The answer was written after it was asked for, so its proof is no older than its age now.
-    prove(answer.storeMillis(), sentAtMillis - answer.ageMillis(), true);
+    // The relay wrote the response after sentAtMillis, so the proof is dated no later than it was.
+    recordProof(answer.storeMillis(), sentAtMillis - answer.ageMillis(), true);
   }
 
-  private void prove(long storeMillis, long atMillis, boolean changed) {
+  private void recordProof(long storeMillis, long atMillis, boolean changed) {
     long era = StoreVersion.ofPacked(Math.max(0, copy.lastChange())).era();
     if (era > provenEra && provenAtMillis != NEVER) {
       Logger.info("event=table-history-replaced table={} era={}", table, era);
@@ -264,7 +272,7 @@
     listener.onTable(copy.rows(), changed, provenAtMillis);
   }
 
-  private void next() {
+  private void readNext() {
     if (closed || callOpen) {
       return;
     }
@@ -300,19 +308,19 @@
               }
               sources.clock().observe(page.storeMillis(), sentAtMillis);
               page.rows().forEach(row -> collected.put(row.key(), row));
-              // Changes made between two pages come again with the feed from the first page on.
+              // Changes during the scan are polled again, from the version of the first page on.
               long since = fromKey == null ? page.version() : startVersion;
               if (page.more() && !page.rows().isEmpty()) {
                 String next = page.rows().get(page.rows().size() - 1).key() + '\0';
                 scanFrom(next, collected, startedAtMillis, since);
               } else {
-                scanned(collected, since, startedAtMillis, page.storeMillis());
+                onScanned(collected, since, startedAtMillis, page.storeMillis());
               }
             },
             eventLoop);
   }
 
-  private void scanned(
+  private void onScanned(
       Map<String, TableRowChange> collected,
       long sinceVersion,
       long startedAtMillis,
@@ -320,10 +328,10 @@
     failures = 0;
     callOpen = false;
     copy.replace(collected, sinceVersion);
-    followedTo = Math.max(followedTo, sinceVersion);
+    readUpTo = Math.max(readUpTo, sinceVersion);
     long elapsed = time.monotonicMillis() - startedAtMillis;
-    prove(storeMillis - elapsed, startedAtMillis, true);
-    next();
+    recordProof(storeMillis - elapsed, startedAtMillis, true);
+    readNext();
   }
 
   private void poll() {
@@ -331,13 +339,13 @@
     long sentAtMillis = time.monotonicMillis();
     sources
         .feed()
-        .changes(table, followedTo, wait)
+        .changes(table, readUpTo, longestWait)
         .whenCompleteAsync(
             (page, failure) -> {
               if (failure == null) {
-                changed(page, sentAtMillis);
+                onChanges(page, sentAtMillis);
               } else if (kindOf(failure) == TableServiceException.Kind.HISTORY_LOST) {
-                Logger.info("event=history-lost table={} version={}", table, followedTo);
+                Logger.info("event=history-lost table={} version={}", table, readUpTo);
                 retry(failure, this::scan);
               } else {
                 retry(failure, this::poll);
@@ -346,22 +354,22 @@
             eventLoop);
   }
 
-  private void changed(TablePage page, long sentAtMillis) {
+  private void onChanges(TablePage page, long sentAtMillis) {
     if (failures > 0) {
       Logger.info("event=store-back table={} failures={}", table, failures);
     }
     failures = 0;
     callOpen = false;
     applyChanges(page, sentAtMillis);
-    provenBy(page, sentAtMillis);
+    recordProofOf(page, sentAtMillis);
     if (!page.rows().isEmpty() && !gather.isZero()) {
-      eventLoop.schedule(this::next, gather.toMillis(), TimeUnit.MILLISECONDS);
+      eventLoop.schedule(this::readNext, gather.toMillis(), TimeUnit.MILLISECONDS);
     } else {
-      next();
+      readNext();
     }
   }
 
-  private void retry(Throwable failure, Runnable again) {
+  private void retry(Throwable failure, Runnable call) {
     failures++;
     if (kindOf(failure) != TableServiceException.Kind.HISTORY_LOST) {
       listener.onUnreachable();
@@ -373,7 +381,7 @@
     eventLoop.schedule(
         () -> {
           if (following || !isKnown()) {
-            again.run();
+            call.run();
           } else {
             callOpen = false;
           }
--- a/gateway/src/main/java/org/lockdale/gateway/table/TableRowChange.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/TableRowChange.java
@@ -1,11 +1,11 @@
 package org.lockdale.gateway.table;
 
 /**
- * A row of a shared table as it stands after a change.
+ * A row of a shared table after a change.
  *
  * @param key key of the row
- * @param value contents; empty where it was removed
- * @param version version of the row, which rises with every transaction of the store
- * @param removed whether the row is gone
+ * @param value contents; empty if the row was removed
+ * @param version version of the row, which increases with every transaction of the store
+ * @param removed whether the row was removed
  */
 public record TableRowChange(String key, byte[] value, long version, boolean removed) {}
--- a/gateway/src/main/java/org/lockdale/gateway/table/TooMuchToTellException.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/TooMuchToTellException.java
@@ -1,15 +1,20 @@
 package org.lockdale.gateway.table;
 
 /**
- * Another node no longer knows what changed after a version, and its whole copy is large; read the
- * changes from the store, or ask for the whole copy where that doesn't answer.
+ * Thrown if another node refuses to send the changes after a version because they are too large.
+ * The changes should be read from the store, or the whole copy from the node if the store doesn't
+ * respond.
  */
 public final class TooMuchToTellException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
-  /** Creates a failure. */
+  /** Creates an exception for a table. */
   public TooMuchToTellException(String table) {
-    super("the changes of table " + table + " are known to the store only", null, false, false);
+    super(
+        "the changes of table " + table + " are too large to send; read them from the store",
+        null,
+        false,
+        false);
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/table/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/package-info.java
@@ -1,4 +1,4 @@
-/** Following tables of a shared store by scan and change feed. */
+/** Copies of tables in a shared store, kept current by scans, change polling and relays. */
 @NullMarked
 package org.lockdale.gateway.table;
 
--- a/gateway/src/test/java/org/lockdale/gateway/table/RowReaderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/table/RowReaderTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Each version of a row is read once. */
+/** Each version of a row is parsed once. */
 public final class RowReaderTest {
 
   private final List<String> parsed = new ArrayList<>();
@@ -40,7 +40,7 @@
   }
 
   @Test
-  public void onlyRowsThatChangedAreReadAgain() {
+  public void onlyChangedRowsAreParsedAgain() {
     put("a", "one", 1);
     put("b", "two", 2);
     reader.read(rows);
@@ -51,7 +51,7 @@
   }
 
   @Test
-  public void aRowThatCameBackUnderItsVersionIsRead() {
+  public void aRowThatReappearsWithTheSameVersionIsParsed() {
     put("a", "one", 1);
     reader.read(rows);
     rows.clear();
@@ -63,7 +63,7 @@
   }
 
   @Test
-  public void rowsThatCannotBeReadAreLeftOutAndReadOnce() {
+  public void malformedRowsAreSkippedAndParsedOnce() {
     put("a", "malformed", 1);
     put("b", "", 1);
     put("c", "one", 1);
--- a/gateway/src/test/java/org/lockdale/gateway/table/StoreClockTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/table/StoreClockTest.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** A time of the store is never taken for a later local time than it was. */
+/** A time of the store's clock is never converted to a later local time than it was. */
 public final class StoreClockTest {
 
   @Test
@@ -15,7 +15,7 @@
   }
 
   @Test
-  public void theFastestAnswerCounts() {
+  public void theFastestResponseDeterminesTheOffset() {
     StoreClock clock = new StoreClock();
     clock.observe(10_000, 100);
     clock.observe(10_500, 990);
@@ -24,7 +24,7 @@
   }
 
   @Test
-  public void noAnswerHoweverLateMakesAProofYounger() {
+  public void noDelayOfResponsesMakesAProofAppearNewer() {
     for (long seed = 0; seed < 500; seed++) {
       Random random = new Random(seed);
       long difference = random.nextInt(1_000_000);
--- a/gateway/src/test/java/org/lockdale/gateway/table/TableCopyTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/table/TableCopyTest.java
@@ -9,7 +9,7 @@
 import org.lockdale.coordination.table.StoreVersion;
 import org.testng.annotations.Test;
 
-/** A copy gives others exactly what they lack, and never goes back. */
+/** A copy returns exactly the changes that others lack, and never reverts to older rows. */
 public final class TableCopyTest {
 
   private static TableRowChange row(String key, long version, boolean removed) {
@@ -25,7 +25,7 @@
   }
 
   @Test
-  public void changesAfterAVersionNameRowsAndRemovals() {
+  public void changesAfterAVersionContainRowsAndRemovals() {
     TableCopy copy = new TableCopy();
     copy.replace(whole(row("a", 1, false), row("b", 2, false)), 4);
     copy.apply(List.of(row("a", 5, true), row("c", 6, false)));
@@ -41,7 +41,7 @@
   }
 
   @Test
-  public void whoKnowsLessThanTheHistoryGetsTheWholeTable() {
+  public void allRowsAreReturnedIfOlderChangesAreNotHeld() {
     TableCopy copy = new TableCopy();
     copy.replace(whole(row("a", 1, false)), 4);
     assertEquals(copy.changesAfter(3).whole(), true);
@@ -49,7 +49,7 @@
   }
 
   @Test
-  public void anOlderReadingOfTheWholeTableRemovesNothingAndBringsNothingBack() {
+  public void anOlderScanRemovesNoRowsAndRestoresNone() {
     TableCopy copy = new TableCopy();
     copy.replace(whole(row("a", 1, false), row("b", 2, false)), 4);
     copy.apply(List.of(row("b", 5, true), row("c", 6, false)));
@@ -59,12 +59,13 @@
   }
 
   /**
-   * The store came back from an older copy, and a reading of its former history is taken in after
-   * one of the new history, as one whose pages came in turn may be. A row that the new history
-   * lacks was added and stood for good: a server that is gone, or a key that was taken away.
+   * Guards against rows from before a restore of the store. After a restore from an older copy, a
+   * scan of the former era may be applied after one of the new era, for example if its pages
+   * arrived in turn with those of the other. It added rows that the new era lacks, such as a
+   * removed server or a revoked key, and they stayed for good.
    */
   @Test
-  public void whatIsOfAFormerHistoryChangesNothing() {
+  public void changesFromAFormerEraAreIgnored() {
     long former = new StoreVersion(0, 100).packed();
     long present = new StoreVersion(1, 90).packed();
     TableCopy copy = new TableCopy();
@@ -76,9 +77,9 @@
     assertEquals(copy.lastChange(), present);
   }
 
-  /** Readers that ask at random times, of copies that began at random times, see the same table. */
+  /** Copies read from a relay at random times, also after its scans, converge to the same table. */
   @Test
-  public void readersOfReadersEndWithTheSameTable() {
+  public void copiesOfCopiesConvergeToTheSameTable() {
     for (long seed = 0; seed < 500; seed++) {
       Random random = new Random(seed);
       Map<String, TableRowChange> table = new HashMap<>();
--- a/gateway/src/test/java/org/lockdale/gateway/table/TableFollowerTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/table/TableFollowerTest.java
@@ -25,7 +25,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A copy of a table stays whole over pages, lost history, failures and stale readings. */
+/** A copy of a table stays complete across pages, lost history, failures and stale scans. */
 public final class TableFollowerTest {
 
   private static final class ScriptedFeed implements TableFeed {
@@ -65,7 +65,7 @@
   public void start() {
     eventLoop = new DefaultEventLoop();
     clock = new StoreClock();
-    // A follower of an earlier test may still call; it keeps its own feed.
+    // A follower of an earlier test may still make calls, which must not reach this feed.
     feed = new ScriptedFeed();
     copies = new LinkedBlockingQueue<>();
     peerCalls.clear();
@@ -94,7 +94,7 @@
     return follow(true);
   }
 
-  private TableFollower follow(boolean direct) {
+  private TableFollower follow(boolean pollsStore) {
     BlockingQueue<Map<String, String>> received = copies;
     TableFollower follower =
         new TableFollower(
@@ -104,7 +104,7 @@
             SystemTime.instance(),
             (rows, changed, provenAt) -> received.add(texts(rows)));
     follower.start();
-    eventLoop.execute(() -> follower.follow(direct));
+    eventLoop.execute(() -> follower.follow(pollsStore));
     return follower;
   }
 
@@ -116,7 +116,7 @@
 
   private Map<String, String> nextCopy() throws InterruptedException {
     Map<String, String> copy = copies.poll(10, TimeUnit.SECONDS);
-    assertTrue(copy != null, "no copy came");
+    assertTrue(copy != null, "no copy was received");
     return copy;
   }
 
@@ -132,7 +132,8 @@
   }
 
   @Test
-  public void removedRowsGoAndFailuresAreRetriedFromTheSameVersion() throws InterruptedException {
+  public void removalsAreAppliedAndFailuresAreRetriedFromTheSameVersion()
+      throws InterruptedException {
     feed.scans.add(page(false, 3, row("a", "1", 1), row("b", "2", 2)));
     feed.changes.add(failure(TableServiceException.Kind.UNREACHABLE));
     feed.changes.add(failure(TableServiceException.Kind.OUTCOME_UNKNOWN));
@@ -163,11 +164,11 @@
     assertTrue(announce(follower, 7));
     assertEquals(nextCopy(), Map.of("a", "1", "b", "2"));
     assertEquals(peerCalls, List.of(5L));
-    assertEquals(feed.calls, List.of("scan start"), "the store is left alone");
+    assertEquals(feed.calls, List.of("scan start"), "the store gets no further calls");
   }
 
   @Test
-  public void whatARelayNoLongerKnowsIsReadFromTheStore() throws Exception {
+  public void changesThatARelayRefusesAreReadFromTheStore() throws Exception {
     feed.scans.add(page(false, 5, row("a", "1", 1)));
     TableFollower follower = follow(false);
     nextCopy();
@@ -178,11 +179,12 @@
     assertEquals(nextCopy(), Map.of("b", "2"));
     assertEquals(feed.calls, List.of("scan start", "changes 5"));
     assertTrue(announce(follower, 9));
-    assertEquals(peerCalls, List.of(5L), "what the store told counts up to its version");
+    assertEquals(
+        peerCalls, List.of(5L), "changes read from the store need not be read from the relay");
   }
 
   @Test
-  public void whereTheStoreDoesNotAnswerTheRelayTellsAll() throws Exception {
+  public void allRowsAreReadFromTheRelayIfTheStoreDoesNotRespond() throws Exception {
     feed.scans.add(page(false, 5, row("a", "1", 1)));
     TableFollower follower = follow(false);
     nextCopy();
@@ -196,7 +198,7 @@
   }
 
   @Test
-  public void aRelayThatDoesNotAnswerIsReportedAndAskedAgain() throws Exception {
+  public void aFailedReadFromARelayIsReportedAndRepeated() throws Exception {
     feed.scans.add(page(false, 5, row("a", "1", 1)));
     TableFollower follower = follow(false);
     nextCopy();
@@ -205,26 +207,29 @@
     TableChanges whole = new TableChanges(true, 9, List.of(row("c", "3", 9)));
     peerAnswers.add(CompletableFuture.completedFuture(new TablePeers.Answer(whole, 1_100, 3)));
     assertTrue(announce(follower, 9));
-    assertEquals(nextCopy(), Map.of("c", "3"), "what the whole table lacks is gone");
+    assertEquals(nextCopy(), Map.of("c", "3"), "rows that the whole table lacks are removed");
   }
 
   @Test
-  public void aNodeThatStartsWhileTheStoreIsDownReadsFromARelay() throws Exception {
+  public void aNodeThatStartsDuringAnOutageReadsFromARelay() throws Exception {
     TableFollower follower = follow(false);
     TableChanges whole = new TableChanges(true, 9, List.of(row("c", "3", 9)));
     peerAnswers.add(CompletableFuture.completedFuture(new TablePeers.Answer(whole, 1_100, 50)));
-    long askedAt = SystemTime.instance().monotonicMillis();
+    long sentAt = SystemTime.instance().monotonicMillis();
     assertTrue(announce(follower, 9));
     assertEquals(nextCopy(), Map.of("c", "3"));
     assertEquals(peerCalls, List.of(-1L));
     long provenAt = follower.provenAtMillis();
-    assertTrue(provenAt >= askedAt - 50, "the relay's proof counts with its age");
+    assertTrue(provenAt >= sentAt - 50, "the age of the relay's proof is included");
     assertTrue(provenAt <= SystemTime.instance().monotonicMillis() - 50);
-    assertEquals(clock.localMillis(1_100), provenAt, "the store's clock is known from then on");
+    assertEquals(
+        clock.localMillis(1_100),
+        provenAt,
+        "the response of the relay sets the offset of the store's clock");
   }
 
   @Test
-  public void lostHistoryMeansAnotherScanAndNoRowGoesBack() throws InterruptedException {
+  public void lostHistoryCausesAScanThatRevertsNoRow() throws InterruptedException {
     feed.scans.add(page(false, 3, row("a", "new", 3)));
     feed.changes.add(failure(TableServiceException.Kind.HISTORY_LOST));
     feed.scans.add(page(false, 2, row("a", "stale", 2), row("b", "1", 1)));
