--- a/gateway/src/main/java/org/lockdale/gateway/command/AddressConverter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/command/AddressConverter.java
@@ -6,7 +6,7 @@
 import org.lockdale.settings.ValueParsers;
 import picocli.CommandLine.ITypeConverter;
 
-/** Reads an address from the command line. */
+/** Converts a command-line argument {@code IP:PORT} to an address. */
 final class AddressConverter implements ITypeConverter<InetSocketAddress> {
 
   @Override
--- a/gateway/src/main/java/org/lockdale/gateway/command/GatewayCommand.java
+++ b/gateway/src/main/java/org/lockdale/gateway/command/GatewayCommand.java
@@ -23,7 +23,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs a gateway node until it is told to stop; SIGTERM is a planned stop. */
+/** Runs a gateway node until the process is asked to stop; SIGTERM starts a planned stop. */
 @Command(
     name = "lockdale-gateway",
     mixinStandardHelpOptions = true,
@@ -37,14 +37,14 @@
     })
 public final class GatewayCommand implements Callable<Integer> {
 
-  private static final String MACHINE_PROPERTY = "io.netty.machineId";
+  private static final String NETTY_MACHINE_ID_PROPERTY = "io.netty.machineId";
   private static final int EXIT_OK = 0;
   private static final int EXIT_FAILED = 1;
   private static final int EXIT_WRONG_SETTINGS = 2;
   private static final String SETTINGS_OPTION = "--settings";
   private static final String LISTEN_OPTION = "--listen";
-  private static final int PLAIN_ARGUMENTS = 2;
-  private static final int PLAIN_ARGUMENTS_WITH_LISTEN = 4;
+  private static final int SETTINGS_ONLY_ARGUMENTS = 2;
+  private static final int SETTINGS_AND_LISTEN_ARGUMENTS = 4;
 
   private final Function<GatewaySettings, BiFunction<EventLoopGroup, HttpClient, GatewayProtocols>>
       adapters;
@@ -79,7 +79,10 @@
               + " (java -XX:ArchiveClassesAtExit=FILE).")
   private boolean trainingRun;
 
-  /** The command is made first of all, so this is the start of the process within its reach. */
+  /**
+   * Monotonic time at which the process started, as far as it can tell: the command is created
+   * first.
+   */
   private final long startedAtMillis = SystemTime.instance().monotonicMillis();
 
   private GatewayCommand(
@@ -92,18 +95,18 @@
   /**
    * Runs the command line.
    *
-   * @param adapters makes the adapters of the deployment
-   * @param training what a training run needs of the deployment
-   * @param arguments the command line
+   * @param adapters creates the adapters of the deployment from the settings
+   * @param training simulates the rest of the deployment for training runs
+   * @param arguments command-line arguments
    * @return the exit status
    */
   public static int run(
       Function<GatewaySettings, BiFunction<EventLoopGroup, HttpClient, GatewayProtocols>> adapters,
       TrainingEnvironment training,
       String... arguments) {
-    nameMachine();
-    if (isPlainStart(arguments)) {
-      return startPlainly(new GatewayCommand(adapters, training), arguments);
+    setNettyMachineId();
+    if (canBypassParser(arguments)) {
+      return runWithoutParser(new GatewayCommand(adapters, training), arguments);
     }
     return new CommandLine(new GatewayCommand(adapters, training))
         .setExecutionExceptionHandler(
@@ -115,35 +118,38 @@
   }
 
   /**
-   * Spares the search for a hardware address over all interfaces, by which Netty would name each
-   * connection, and its warning where there is none. Names of connections stand in no log here.
+   * Sets Netty's machine id, which is part of the ids of its connections. Without it, Netty
+   * searches all network interfaces for a hardware address, and logs a warning if there is none.
+   * Connection ids are not logged here.
    */
-  private static void nameMachine() {
-    if (System.getProperty(MACHINE_PROPERTY) == null) {
-      System.setProperty(MACHINE_PROPERTY, "02:00:00:00:00:01");
+  private static void setNettyMachineId() {
+    if (System.getProperty(NETTY_MACHINE_ID_PROPERTY) == null) {
+      System.setProperty(NETTY_MACHINE_ID_PROPERTY, "02:00:00:00:00:01");
     }
   }
 
   /**
-   * Returns whether a node is started with its settings file alone, as where it is installed. This
-   * is part of every recovery, and to build the command line would take half of its time.
+   * Returns whether the arguments are only a settings file and optionally a listen address, as in
+   * an installation. Such a start bypasses the command-line parser: it is part of every recovery,
+   * and building the parser would take half of the start time.
    */
-  private static boolean isPlainStart(String... arguments) {
+  private static boolean canBypassParser(String... arguments) {
     boolean settings =
-        arguments.length >= PLAIN_ARGUMENTS
+        arguments.length >= SETTINGS_ONLY_ARGUMENTS
             && arguments[0].equals(SETTINGS_OPTION)
             && !arguments[1].startsWith("-");
     boolean listen =
-        arguments.length == PLAIN_ARGUMENTS_WITH_LISTEN
-            && arguments[PLAIN_ARGUMENTS].equals(LISTEN_OPTION);
-    return settings && (arguments.length == PLAIN_ARGUMENTS || listen);
+        arguments.length == SETTINGS_AND_LISTEN_ARGUMENTS
+            && arguments[SETTINGS_ONLY_ARGUMENTS].equals(LISTEN_OPTION);
+    return settings && (arguments.length == SETTINGS_ONLY_ARGUMENTS || listen);
   }
 
-  private static int startPlainly(GatewayCommand command, String... arguments) {
+  private static int runWithoutParser(GatewayCommand command, String... arguments) {
     command.file = Path.of(arguments[1]);
     try {
-      if (arguments.length == PLAIN_ARGUMENTS_WITH_LISTEN) {
-        command.listenAddress = new AddressConverter().convert(arguments[PLAIN_ARGUMENTS + 1]);
+      if (arguments.length == SETTINGS_AND_LISTEN_ARGUMENTS) {
+        command.listenAddress =
+            new AddressConverter().convert(arguments[SETTINGS_ONLY_ARGUMENTS + 1]);
       }
       return command.call();
     } catch (InterruptedException interrupted) {
@@ -174,7 +180,7 @@
       System.out.println("settings are valid");
       return EXIT_OK;
     }
-    // A process that has no handler yet is ended by SIGHUP, so the handler comes before callers do.
+    // SIGHUP ends a process without a handler, so install the handler before callers can connect.
     HangupSignal.onSignal(() -> reload.get().run());
     EarlyListener listener = listenAddress == null ? null : EarlyListener.open(listenAddress);
     try {
@@ -189,10 +195,10 @@
 
   private GatewaySettings loadSettings() {
     GatewaySettings settings = GatewaySettings.load(file, flags);
-    boolean elsewhere =
+    boolean listensElsewhere =
         listenAddress != null
             && !settings.get(GatewaySettings.CALLERS_ADDRESS).equals(listenAddress);
-    if (elsewhere) {
+    if (listensElsewhere) {
       throw new SettingsException(
           List.of(
               LISTEN_OPTION + ": is not callers.address; give the same address or leave it out."));
--- a/gateway/src/main/java/org/lockdale/gateway/command/HangupSignal.java
+++ b/gateway/src/main/java/org/lockdale/gateway/command/HangupSignal.java
@@ -5,25 +5,25 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps SIGHUP from ending the process, as the JVM would have it. The JVM's signal interface is
- * reached by reflection, since no supported interface offers it.
+ * Handles SIGHUP, which would otherwise end the process. The JVM's internal signal API is called by
+ * reflection, since no supported API offers signal handlers.
  */
 final class HangupSignal {
 
   private HangupSignal() {}
 
-  /** Runs an action at every SIGHUP. */
+  /** Runs an action on every SIGHUP. Logs a warning if signals can't be handled. */
   static void onSignal(Runnable action) {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
-      Object proxy =
+      Object handlerProxy =
           Proxy.newProxyInstance(
               handler.getClassLoader(),
               new Class<?>[] {handler},
               (self, method, arguments) -> handle(self, method.getName(), arguments, action));
       Object hangup = signal.getConstructor(String.class).newInstance("HUP");
-      signal.getMethod("handle", signal, handler).invoke(null, hangup, proxy);
+      signal.getMethod("handle", signal, handler).invoke(null, hangup, handlerProxy);
     } catch (ClassNotFoundException
         | NoSuchMethodException
         | InstantiationException
--- a/gateway/src/main/java/org/lockdale/gateway/command/TrainingEnvironment.java
+++ b/gateway/src/main/java/org/lockdale/gateway/command/TrainingEnvironment.java
@@ -6,18 +6,18 @@
 import org.lockdale.http.HttpRequestMessage;
 
 /**
- * What a training run needs of a deployment: a stand-in of its store and back ends in one server,
- * and requests of each kind.
+ * Simulates the rest of a deployment for a training run: its store and backends, by one stand-in
+ * server, and its callers, by requests of each kind.
  */
 public interface TrainingEnvironment {
 
   /**
-   * Returns a handler that answers as the store and as all back ends.
+   * Returns a handler that responds as the store and as all backends.
    *
-   * @param address address at which it will be reached
+   * @param address address at which the handler will be reachable
    */
   HttpHandler standIn(InetSocketAddress address);
 
-  /** Returns one request of each kind that callers send; each is answered with success. */
+  /** Returns one request of each kind that callers send; each must be answered with success. */
   List<HttpRequestMessage> requests();
 }
--- a/gateway/src/main/java/org/lockdale/gateway/command/TrainingRun.java
+++ b/gateway/src/main/java/org/lockdale/gateway/command/TrainingRun.java
@@ -32,27 +32,27 @@
 import org.lockdale.http.LoopbackPorts;
 
 /**
- * Starts two nodes on loopback before a stand-in of their store and back ends, sends them requests
- * of each kind, and stops them. What is loaded meanwhile is what a node loads in service, so that
- * an archive of these classes spares a node that starts from reading and verifying them.
+ * Starts two nodes on loopback against a stand-in for their store and backends, sends them requests
+ * of each kind, and stops them. This loads the classes that a node in service loads. With a class
+ * data archive of them, a starting node need not read and verify them.
  */
 final class TrainingRun {
 
   private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
   private static final int SUCCESS = 200;
 
-  /** One of the stand-in, and three of each of the two nodes. */
+  /** One address for the stand-in, and three for each of the two nodes. */
   private static final int ADDRESSES = 7;
 
-  /** Enough for a machine that is busy with other work: half a minute. */
+  /** Allows half a minute in total, enough for a machine that is busy with other work. */
   private static final int MAX_READINESS_CALLS = 600;
 
-  private static final long READINESS_MILLIS = 50;
+  private static final long READINESS_PAUSE_MILLIS = 50;
 
-  /** Rounds of requests; the pause between two lets controllers act that run from time to time. */
+  /** Rounds of requests; the pauses between them give periodic tasks of the nodes time to run. */
   private static final int ROUNDS = 20;
 
-  private static final long ROUND_MILLIS = 100;
+  private static final long ROUND_PAUSE_MILLIS = 100;
 
   private final Function<GatewaySettings, BiFunction<EventLoopGroup, HttpClient, GatewayProtocols>>
       adapters;
@@ -69,10 +69,12 @@
   }
 
   /**
-   * Runs once.
+   * Performs a training run.
    *
-   * @param adapters makes the adapters of the deployment
-   * @param environment stands in for the rest of the deployment
+   * @param adapters creates the adapters of the deployment from the settings
+   * @param environment simulates the rest of the deployment
+   * @throws IllegalStateException if a node does not become ready, or if no request of some path
+   *     was answered with success
    */
   static void run(
       Function<GatewaySettings, BiFunction<EventLoopGroup, HttpClient, GatewayProtocols>> adapters,
@@ -102,14 +104,14 @@
       for (GatewaySettings each : settings) {
         sendAll(each.get(GatewaySettings.CALLERS_ADDRESS), unserved);
       }
-      TimeUnit.MILLISECONDS.sleep(ROUND_MILLIS);
+      TimeUnit.MILLISECONDS.sleep(ROUND_PAUSE_MILLIS);
     }
     RequestFingerprint.prepare();
     nodes.forEach(node -> node.stop().join());
     server.close();
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     if (!unserved.isEmpty()) {
-      throw new IllegalStateException("the training run was not served at " + unserved);
+      throw new IllegalStateException("no request of the training run succeeded at " + unserved);
     }
   }
 
@@ -128,7 +130,7 @@
       if (reply != null && reply.status() == SUCCESS) {
         return;
       }
-      TimeUnit.MILLISECONDS.sleep(READINESS_MILLIS);
+      TimeUnit.MILLISECONDS.sleep(READINESS_PAUSE_MILLIS);
     }
     throw new IllegalStateException("a node of the training run did not become ready");
   }
@@ -137,7 +139,7 @@
     return client.exchange(address, request, CALL_TIMEOUT).exceptionally(failure -> null).join();
   }
 
-  /** The settings come from a file, as they do where a node is installed. */
+  /** Loads the settings of a node from a temporary file, as an installed node does. */
   private static GatewaySettings settings(
       String node, InetSocketAddress store, Queue<InetSocketAddress> free) {
     try {
@@ -159,7 +161,7 @@
     values.put(GatewaySettings.NODE_ID.key(), node);
     values.put(GatewaySettings.NODE_ZONE.key(), "training");
     values.put(GatewaySettings.STOP_GRACE.key(), "300ms");
-    // Engines are moved to new weights at once, so that this is trained too.
+    // With a short bound, engines are moved to new weights within the training run.
     values.put(GatewaySettings.WEIGHTS_BOUND.key(), "1s");
     values.put(GatewaySettings.CALLERS_ADDRESS.key(), text(free.remove()));
     values.put(GatewaySettings.READINESS_ADDRESS.key(), text(free.remove()));
--- a/gateway/src/main/java/org/lockdale/gateway/command/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/command/package-info.java
@@ -1,4 +1,4 @@
-/** The command line of the daemon. */
+/** The command line of the gateway daemon. */
 @NullMarked
 package org.lockdale.gateway.command;
 
