--- a/gateway/src/main/java/org/lockdale/gateway/node/BackendController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/BackendController.java
@@ -144,9 +144,9 @@
    * Ends an incarnation that another one of the same server has replaced. Its open requests would
    * otherwise wait for responses that cannot come.
    */
-  private static void endIfReplaced(TrackedBackend gone, BackendTable after) {
-    if (after.named(gone.backend().incarnation().server()) != null) {
-      gone.end();
+  private static void endIfReplaced(TrackedBackend removed, BackendTable after) {
+    if (after.named(removed.backend().incarnation().server()) != null) {
+      removed.end();
     }
   }
 
@@ -186,10 +186,10 @@
     }
     after.all().forEach(blackboard.rollout().value()::observe);
     blackboard.backends().publish(after, provenAtMillis);
-    for (TrackedBackend gone : before.all()) {
-      if (after.find(gone.backend().id()) == null) {
-        client.forget(gone.backend().address());
-        endIfReplaced(gone, after);
+    for (TrackedBackend removed : before.all()) {
+      if (after.find(removed.backend().id()) == null) {
+        client.forget(removed.backend().address());
+        endIfReplaced(removed, after);
       }
     }
     Logger.info("event=backends-changed count={}", after.all().size());
--- a/gateway/src/main/java/org/lockdale/gateway/node/GatewayNode.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/GatewayNode.java
@@ -279,7 +279,10 @@
     return blackboard.phase().value() == GatewayPhase.DRAINING;
   }
 
-  /** Returns whether this node serves as a relay, which follows the store on behalf of others. */
+  /**
+   * Returns whether this node is a relay node, which reads the store and places requests for
+   * others.
+   */
   public boolean isRelay() {
     return cluster.isRelay();
   }
--- a/gateway/src/main/java/org/lockdale/gateway/node/OperatorController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/OperatorController.java
@@ -19,7 +19,7 @@
 /**
  * Updates the sections {@code configuration} and {@code weights} of the blackboard from the
  * operators' table. A configuration is never replaced by an older version. Where a row can't be
- * read, the last valid version stays in force.
+ * read, the last valid version stays in effect.
  */
 final class OperatorController implements TableFollower.Listener {
 
--- a/gateway/src/main/java/org/lockdale/gateway/table/TableFollower.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/TableFollower.java
@@ -17,8 +17,8 @@
 /**
  * Keeps a copy of a table current. It first scans the whole table. While {@link #follow following}
  * is enabled, it then polls the store for changes, and scans again if the store no longer holds
- * some of them. Otherwise a relay announces new versions, and the changes are read from that relay.
- * Each response also proves that the copy was current at some time. Runs on one event loop.
+ * some of them. Otherwise a relay node announces new versions, and the changes are read from that
+ * relay. Each response also proves that the copy was current at some time. Runs on one event loop.
  */
 public final class TableFollower {
 
--- a/gateway/src/test/java/org/lockdale/gateway/node/ExpiredBackendsTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/node/ExpiredBackendsTest.java
@@ -47,7 +47,10 @@
     expired.onProof(atMillis, atMillis);
   }
 
-  /** Guards against sending to a backend for 1.8 s more after it was removed while draining. */
+  /**
+   * Guards against sending requests for 1.8 s more to a server that began to drain, and was
+   * removed, while the node had no relay.
+   */
   @Test
   public void missingRecordsAreNotRetainedAfterATimeWithoutRelays() {
     ExpiredBackends expired = new ExpiredBackends(OUTAGE);
