--- a/gateway/src/test/java/org/lockdale/gateway/node/ExpiredBackendsTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/node/ExpiredBackendsTest.java
@@ -16,7 +16,9 @@
 public final class ExpiredBackendsTest {
 
   private static final long OUTAGE = 1_000;
-  private static final long RECOVERED_AT = 10_000;
+
+  /** Monotonic time of the first proof after the outage. */
+  private static final long BACK_AT = 10_000;
 
   private final Backend one = backend("i-1", false);
   private final Backend two = backend("i-2", false);
@@ -37,9 +39,9 @@
 
   private static ExpiredBackends afterAnOutage() {
     ExpiredBackends expired = new ExpiredBackends(OUTAGE);
-    proveAt(expired, RECOVERED_AT - OUTAGE - 1);
+    proveAt(expired, BACK_AT - OUTAGE - 1);
     expired.onUnreachable();
-    proveAt(expired, RECOVERED_AT);
+    proveAt(expired, BACK_AT);
     return expired;
   }
 
@@ -47,43 +49,39 @@
     expired.onProof(atMillis, atMillis);
   }
 
-  /**
-   * Guards against sending requests for 1.8 s more to a server that began to drain, and was
-   * removed, while the node had no relay.
-   */
+  /** Guards against sending for 1.8 s more to a server that drained while the node had no relay. */
   @Test
   public void missingRecordsAreNotRetainedAfterATimeWithoutRelays() {
     ExpiredBackends expired = new ExpiredBackends(OUTAGE);
-    proveAt(expired, RECOVERED_AT - OUTAGE - 1);
-    proveAt(expired, RECOVERED_AT);
-    assertEquals(ids(merge(expired, List.of(one, two), List.of(one), RECOVERED_AT)), Set.of("i-1"));
+    proveAt(expired, BACK_AT - OUTAGE - 1);
+    proveAt(expired, BACK_AT);
+    assertEquals(ids(merge(expired, List.of(one, two), List.of(one), BACK_AT)), Set.of("i-1"));
   }
 
   @Test
   public void anOldProofFromARelayIndicatesAnOutage() {
     ExpiredBackends expired = new ExpiredBackends(OUTAGE);
-    long last = RECOVERED_AT - 2 * OUTAGE;
+    long last = BACK_AT - 2 * OUTAGE;
     expired.onProof(last, last);
     expired.onProof(last, last + OUTAGE + 1);
-    proveAt(expired, RECOVERED_AT);
-    assertEquals(ids(merge(expired, List.of(one), List.of(), RECOVERED_AT)), Set.of("i-1"));
+    proveAt(expired, BACK_AT);
+    assertEquals(ids(merge(expired, List.of(one), List.of(), BACK_AT)), Set.of("i-1"));
   }
 
   @Test
   public void aFailureBeforeTheLastProofIndicatesNoOutage() {
     ExpiredBackends expired = new ExpiredBackends(OUTAGE);
     expired.onUnreachable();
-    proveAt(expired, RECOVERED_AT - OUTAGE - 1);
-    proveAt(expired, RECOVERED_AT);
-    assertEquals(merge(expired, List.of(one), List.of(), RECOVERED_AT), List.of());
+    proveAt(expired, BACK_AT - OUTAGE - 1);
+    proveAt(expired, BACK_AT);
+    assertEquals(merge(expired, List.of(one), List.of(), BACK_AT), List.of());
   }
 
   @Test
   public void missingRecordsAreRetainedForATimeAfterAnOutage() {
     ExpiredBackends expired = afterAnOutage();
     long end = expired.retentionEndsAtMillis();
-    assertEquals(
-        ids(merge(expired, List.of(one, two), List.of(), RECOVERED_AT)), Set.of("i-1", "i-2"));
+    assertEquals(ids(merge(expired, List.of(one, two), List.of(), BACK_AT)), Set.of("i-1", "i-2"));
     assertTrue(expired.hasRetained());
     assertEquals(
         ids(merge(expired, List.of(one, two), List.of(one), end - 1)), Set.of("i-1", "i-2"));
@@ -94,32 +92,32 @@
   @Test
   public void recordsRemovedWhileTheStoreIsReachableAreNotRetained() {
     ExpiredBackends expired = new ExpiredBackends(OUTAGE);
-    proveAt(expired, RECOVERED_AT - OUTAGE);
+    proveAt(expired, BACK_AT - OUTAGE);
     expired.onUnreachable();
-    proveAt(expired, RECOVERED_AT);
-    assertEquals(ids(merge(expired, List.of(one, two), List.of(one), RECOVERED_AT)), Set.of("i-1"));
+    proveAt(expired, BACK_AT);
+    assertEquals(ids(merge(expired, List.of(one, two), List.of(one), BACK_AT)), Set.of("i-1"));
   }
 
   @Test
   public void theFirstProofDoesNotEndAnOutage() {
     ExpiredBackends expired = new ExpiredBackends(OUTAGE);
     expired.onUnreachable();
-    proveAt(expired, RECOVERED_AT);
-    assertEquals(merge(expired, List.of(one), List.of(), RECOVERED_AT), List.of());
+    proveAt(expired, BACK_AT);
+    assertEquals(merge(expired, List.of(one), List.of(), BACK_AT), List.of());
   }
 
   @Test
   public void aDrainingBackendIsNotRetained() {
     Backend leaving = backend("i-3", true);
-    assertEquals(merge(afterAnOutage(), List.of(leaving), List.of(), RECOVERED_AT), List.of());
+    assertEquals(merge(afterAnOutage(), List.of(leaving), List.of(), BACK_AT), List.of());
   }
 
   @Test
   public void anOlderProofChangesNothing() {
     ExpiredBackends expired = afterAnOutage();
     long end = expired.retentionEndsAtMillis();
-    expired.onProof(RECOVERED_AT - OUTAGE / 2, RECOVERED_AT);
-    proveAt(expired, RECOVERED_AT + OUTAGE / 2);
+    expired.onProof(BACK_AT - OUTAGE / 2, BACK_AT);
+    proveAt(expired, BACK_AT + OUTAGE / 2);
     assertEquals(expired.retentionEndsAtMillis(), end);
   }
 
@@ -129,13 +127,12 @@
     Backend former = backend("i-1@100", false);
     Backend next = backend("i-1@200", false);
     List<Backend> merged =
-        afterAnOutage().merge(List.of(former), List.of(next), Set.of("i-1"), RECOVERED_AT);
+        afterAnOutage().merge(List.of(former), List.of(next), Set.of("i-1"), BACK_AT);
     assertEquals(ids(merged), Set.of("i-1@200"));
   }
 
   @Test
   public void aServerWithAnUnreadableRowHasNotExpired() {
-    assertEquals(
-        afterAnOutage().merge(List.of(one), List.of(), Set.of("i-1"), RECOVERED_AT), List.of());
+    assertEquals(afterAnOutage().merge(List.of(one), List.of(), Set.of("i-1"), BACK_AT), List.of());
   }
 }
