--- a/coordination/src/main/java/org/lockdale/coordination/membership/GossipQueue.java
+++ b/coordination/src/main/java/org/lockdale/coordination/membership/GossipQueue.java
@@ -8,8 +8,9 @@
 import org.lockdale.protocol.generated.MemberUpdate;
 
 /**
- * Member updates that are still to be sent on. Each is sent a bounded number of times, a few on
- * each message, so a burst of changes makes the spread longer but never the messages larger.
+ * Member updates that are still to be disseminated. Each one is sent a bounded number of times,
+ * with a bounded number on each message, so a burst of changes delays their dissemination but does
+ * not enlarge the messages.
  */
 final class GossipQueue {
 
@@ -25,27 +26,32 @@
 
   private final Map<String, Entry> entries = new LinkedHashMap<>();
 
-  /** Queues an update; an earlier one of the same member is dropped. */
+  /**
+   * Queues an update, and drops an earlier one of the same member.
+   *
+   * @param member the member to disseminate
+   * @param transmissions number of times that the update is to be sent
+   */
   void add(Member member, int transmissions) {
     entries.remove(member.id());
     entries.put(member.id(), new Entry(member.toUpdate(), transmissions));
   }
 
-  /** Takes up to a number of updates, those longest unsent first. */
-  List<MemberUpdate> take(int most) {
-    List<MemberUpdate> taken = new ArrayList<>(Math.min(most, entries.size()));
-    List<Entry> again = new ArrayList<>();
+  /** Takes up to {@code maxUpdates} updates for one message, least recently sent first. */
+  List<MemberUpdate> take(int maxUpdates) {
+    List<MemberUpdate> taken = new ArrayList<>(Math.min(maxUpdates, entries.size()));
+    List<Entry> requeued = new ArrayList<>();
     Iterator<Entry> iterator = entries.values().iterator();
-    while (iterator.hasNext() && taken.size() < most) {
+    while (iterator.hasNext() && taken.size() < maxUpdates) {
       Entry entry = iterator.next();
       iterator.remove();
       taken.add(entry.update);
       entry.remaining--;
       if (entry.remaining > 0) {
-        again.add(entry);
+        requeued.add(entry);
       }
     }
-    for (Entry entry : again) {
+    for (Entry entry : requeued) {
       entries.put(entry.update.getId(), entry);
     }
     return taken;
--- a/coordination/src/main/java/org/lockdale/coordination/membership/Member.java
+++ b/coordination/src/main/java/org/lockdale/coordination/membership/Member.java
@@ -8,14 +8,14 @@
 import org.lockdale.protocol.generated.MemberUpdate;
 
 /**
- * What this node believes of one node.
+ * A member of the cluster as known at this node.
  *
  * @param id node id, unique in the cluster
- * @param incarnation rises with every restart and every refuted suspicion
- * @param peerAddress IP address and port of node-to-node messages
+ * @param incarnation number that increases with every restart and every refuted suspicion
+ * @param peerAddress IP address and port for messages between nodes
  * @param operatorPort port of the operators' HTTP interface at the same IP address
  * @param zone zone of the node
- * @param status what is believed
+ * @param status known status
  */
 public record Member(
     String id,
@@ -25,7 +25,11 @@
     String zone,
     MemberStatus status) {
 
-  /** Returns the member of an update. */
+  /**
+   * Returns the member that an update describes.
+   *
+   * @throws IllegalArgumentException if the update has no valid IP address
+   */
   static Member of(MemberUpdate update) {
     ByteBuffer buffer = update.getAddress().duplicate();
     byte[] address = new byte[buffer.remaining()];
@@ -57,29 +61,32 @@
         status);
   }
 
-  Member with(MemberStatus newStatus, long newIncarnation) {
+  Member withStatus(MemberStatus newStatus, long newIncarnation) {
     return new Member(id, newIncarnation, peerAddress, operatorPort, zone, newStatus);
   }
 
-  /** Returns the address of the member's operators' HTTP interface. */
+  /** Returns the address of the operators' HTTP interface of the member. */
   public InetSocketAddress operatorAddress() {
     return new InetSocketAddress(peerAddress.getAddress(), operatorPort);
   }
 
-  /** Returns whether the member can be expected to answer. */
+  /** Returns whether the member is not dead, so that a reply can be expected. */
   public boolean isReachable() {
     return status != MemberStatus.DEAD;
   }
 
-  /** Returns whether new responsibilities may be given to the member. */
+  /**
+   * Returns whether the member is alive, neither suspected nor leaving, so that it can take on new
+   * tasks.
+   */
   public boolean isAlive() {
     return status == MemberStatus.ALIVE;
   }
 
   /**
-   * Returns whether this belief replaces another of the same member: a later incarnation always
-   * does; within one incarnation bad news wins, since only the member itself may take it back, and
-   * it does so with a later incarnation.
+   * Returns whether this description replaces another one of the same member. A later incarnation
+   * always takes precedence. Within an incarnation the more severe status does, since only the
+   * member itself may refute it, and does so with a later incarnation.
    */
   boolean supersedes(Member other) {
     if (incarnation != other.incarnation) {
--- a/coordination/src/main/java/org/lockdale/coordination/membership/MemberTable.java
+++ b/coordination/src/main/java/org/lockdale/coordination/membership/MemberTable.java
@@ -15,14 +15,14 @@
 import org.lockdale.coordination.placement.Rendezvous;
 import org.lockdale.protocol.generated.MemberStatus;
 
-/** Beliefs of all other members, with the order in which they are probed. */
+/** The known state of all other members and the order in which they are probed. */
 final class MemberTable {
 
   private final UniformRandomProvider random;
   private final Map<String, Member> members = new HashMap<>();
-  private final Map<String, Long> statusSince = new HashMap<>();
+  private final Map<String, Long> statusSinceMillis = new HashMap<>();
   private final List<String> probeOrder = new ArrayList<>();
-  private int nextProbe;
+  private int nextProbeIndex;
 
   MemberTable(UniformRandomProvider random) {
     this.random = random;
@@ -36,7 +36,7 @@
     return members.values();
   }
 
-  /** Returns the members that can be expected to answer. */
+  /** Returns all members that are not dead. */
   List<Member> reachable() {
     return candidates(Member::isReachable);
   }
@@ -44,23 +44,28 @@
   void put(Member member, long nowMillis) {
     Member before = members.put(member.id(), member);
     if (before == null) {
-      // A random position keeps two nodes that learn members in one order from probing in step.
+      // The random position prevents nodes that learn of members in the same order from probing
+      // them
+      // in the same order.
       probeOrder.add(random.nextInt(probeOrder.size() + 1), member.id());
     }
     if (before == null || before.status() != member.status()) {
-      statusSince.put(member.id(), nowMillis);
+      statusSinceMillis.put(member.id(), nowMillis);
     }
   }
 
-  /** Moves the time of every status change, after a pause in which this node saw nothing. */
+  /**
+   * Moves the times of all status changes forward, after a pause in which this node received
+   * nothing.
+   */
   void shiftStatusTimes(long millis) {
-    statusSince.replaceAll((id, since) -> since + millis);
+    statusSinceMillis.replaceAll((id, since) -> since + millis);
   }
 
-  List<Member> inStatusLongerThan(MemberStatus status, long millis, long nowMillis) {
+  List<Member> withStatusForAtLeast(MemberStatus status, long millis, long nowMillis) {
     List<Member> found = new ArrayList<>();
     for (Member member : members.values()) {
-      if (member.status() == status && nowMillis - statusSince.get(member.id()) >= millis) {
+      if (member.status() == status && nowMillis - statusSinceMillis.get(member.id()) >= millis) {
         found.add(member);
       }
     }
@@ -69,19 +74,19 @@
 
   void remove(String id) {
     members.remove(id);
-    statusSince.remove(id);
+    statusSinceMillis.remove(id);
     probeOrder.remove(id);
   }
 
-  /** Returns the next member to probe; each is met once before any is met again. */
+  /** Returns the next member to probe; each reachable one is returned once per round. */
   Optional<Member> nextToProbe() {
-    for (int tried = 0; tried < probeOrder.size(); tried++) {
-      if (nextProbe >= probeOrder.size()) {
-        nextProbe = 0;
+    for (int attempts = 0; attempts < probeOrder.size(); attempts++) {
+      if (nextProbeIndex >= probeOrder.size()) {
+        nextProbeIndex = 0;
         shuffleProbeOrder();
       }
-      Member candidate = members.get(probeOrder.get(nextProbe));
-      nextProbe++;
+      Member candidate = members.get(probeOrder.get(nextProbeIndex));
+      nextProbeIndex++;
       if (candidate != null && candidate.isReachable()) {
         return Optional.of(candidate);
       }
@@ -92,13 +97,13 @@
   private void shuffleProbeOrder() {
     for (int last = probeOrder.size() - 1; last > 0; last--) {
       int other = random.nextInt(last + 1);
-      String moved = probeOrder.get(last);
+      String swapped = probeOrder.get(last);
       probeOrder.set(last, probeOrder.get(other));
-      probeOrder.set(other, moved);
+      probeOrder.set(other, swapped);
     }
   }
 
-  /** Returns up to a number of distinct random members that meet a condition. */
+  /** Returns up to {@code count} distinct random members that meet a condition. */
   List<Member> sample(int count, Predicate<Member> condition) {
     List<Member> candidates = candidates(condition);
     List<Member> chosen = new ArrayList<>(Math.min(count, candidates.size()));
@@ -109,8 +114,9 @@
   }
 
   /**
-   * Returns up to a number of random members that meet a condition, from as many zones as possible:
-   * where the way between two zones is cut, only a third zone can tell.
+   * Returns up to {@code count} distinct random members that meet a condition, from as many zones
+   * as possible. During a network partition between two zones, only members of a third zone reach
+   * both.
    */
   List<Member> sampleAcrossZones(int count, Predicate<Member> condition) {
     List<Member> candidates = candidates(condition);
@@ -135,7 +141,9 @@
         candidates.add(member);
       }
     }
-    // The table's iteration order must not decide, or runs of one seed would differ.
+    // Sorted, as the result must not depend on the iteration order of the map: otherwise
+    // simulations
+    // with the same seed would differ.
     candidates.sort(Comparator.comparing(Member::id));
     return candidates;
   }
@@ -145,8 +153,9 @@
   }
 
   /**
-   * Returns a digest of the beliefs, in which the order of members plays no part. Dead members are
-   * left out, since nodes forget them at different times; suspicion is left out as short-lived.
+   * Returns a digest of this node and all reachable members, regardless of their order. It excludes
+   * dead members, since nodes remove them at different times, and the status of members, since
+   * suspicion is short-lived.
    */
   long digestWith(Member self) {
     long digest = digestOf(self);
--- a/coordination/src/main/java/org/lockdale/coordination/membership/MembershipListener.java
+++ b/coordination/src/main/java/org/lockdale/coordination/membership/MembershipListener.java
@@ -1,9 +1,9 @@
 package org.lockdale.coordination.membership;
 
-/** Hears of changes of the member table, on the thread that drives the state machine. */
+/** Receives changes of the member table, on the thread that drives the state machine. */
 @FunctionalInterface
 public interface MembershipListener {
 
-  /** Called after a member was added or its belief replaced. */
+  /** Called after a member was added or what is known of it was replaced. */
   void memberChanged(Member member);
 }
--- a/coordination/src/main/java/org/lockdale/coordination/membership/MembershipSettings.java
+++ b/coordination/src/main/java/org/lockdale/coordination/membership/MembershipSettings.java
@@ -4,19 +4,21 @@
  * Timing and fan-out of membership. All times are in milliseconds.
  *
  * @param probeIntervalMillis time between two probes of one node
- * @param probeTimeoutMillis time until a direct probe is followed by indirect ones
- * @param indirectProbes members asked to probe on this node's behalf
- * @param gossipIntervalMillis time between two messages that only carry news, while there is some
- * @param gossipFanout members that get such a message
- * @param suspicionMillis time a suspect has to refute before it is taken for dead
- * @param synchronizationMillis time between two comparisons of member tables
- * @param wholeTableIntervalMillis least time between two whole tables sent by one node
- * @param reconnectMillis time between two probes of a member taken for dead, or of a seed while
- *     alone
- * @param deadRetentionMillis time a dead member is remembered
- * @param maxUpdatesPerMessage most member updates that ride on one message
- * @param transmissionFactor how often an update is sent on, times the decimal digits of the number
- *     of members
+ * @param probeTimeoutMillis time without an acknowledgement after which a direct probe is followed
+ *     by indirect ones
+ * @param indirectProbes number of members that are requested to probe on behalf of this node
+ * @param gossipIntervalMillis time between two rounds of gossip, which are sent only while there is
+ *     something to disseminate
+ * @param gossipFanout number of members to which a round of gossip is sent
+ * @param suspicionMillis time after which a suspect that has not refuted the suspicion counts as
+ *     dead
+ * @param synchronizationMillis average time between two comparisons of member tables
+ * @param fullTableIntervalMillis minimum time between two full tables sent by one node
+ * @param reconnectMillis time between two attempts to contact a dead member or an unknown seed
+ * @param deadRetentionMillis time after which a dead member is removed
+ * @param maxUpdatesPerMessage maximum number of member updates piggybacked on a message
+ * @param transmissionFactor number of times that an update is sent per decimal digit of the number
+ *     of reachable members
  */
 public record MembershipSettings(
     long probeIntervalMillis,
@@ -26,7 +28,7 @@
     int gossipFanout,
     long suspicionMillis,
     long synchronizationMillis,
-    long wholeTableIntervalMillis,
+    long fullTableIntervalMillis,
     long reconnectMillis,
     long deadRetentionMillis,
     int maxUpdatesPerMessage,
--- a/coordination/src/main/java/org/lockdale/coordination/membership/MembershipState.java
+++ b/coordination/src/main/java/org/lockdale/coordination/membership/MembershipState.java
@@ -21,9 +21,9 @@
 import org.lockdale.protocol.generated.TableDigest;
 
 /**
- * Membership of one node: SWIM probing with suspicion and refutation (Das, Gupta, Motivala 2002),
- * updates that ride on probes, comparison of whole tables now and then, and probes of dead members
- * so that zones which were cut off find each other again.
+ * The membership protocol at one node: SWIM probing with suspicion and refutation (Das, Gupta,
+ * Motivala 2002), updates piggybacked on messages, periodic comparisons of the full tables, and
+ * probes of dead members, through which zones rediscover each other after a network partition.
  *
  * <p>A state machine without I/O, not safe for use by several threads: the owner calls {@link
  * #tick} a few times each probe interval and {@link #receive} for each message, and sends what they
@@ -31,11 +31,11 @@
  */
 public final class MembershipState {
 
-  /** A gap between ticks of more than this many probe timeouts means that this node was paused. */
-  private static final int PAUSE_IN_PROBE_TIMEOUTS = 4;
+  /** Number of probe timeouts between two ticks above which this node counts as paused. */
+  private static final int PAUSE_THRESHOLD_PROBE_TIMEOUTS = 4;
 
-  /** Members told to one that joins; it learns the others by comparing tables. */
-  private static final int JOIN_SAMPLE = 12;
+  /** Number of members sent to a joining node, which learns of the others by table comparison. */
+  private static final int JOIN_SAMPLE_SIZE = 12;
 
   private final MembershipSettings settings;
   private final MemberTable table;
@@ -44,22 +44,23 @@
   private final List<InetSocketAddress> seeds;
   private final MessageComposer composer;
   private final Prober prober;
-  private long lastTick = Long.MIN_VALUE;
-  private long nextProbeAt;
-  private long nextSynchronizationAt;
-  private long lastWholeTableAt = Long.MIN_VALUE / 2;
-  private long nextGossipAt;
-  private long nextReconnectAt;
+  private long lastTickMillis = Long.MIN_VALUE;
+  private long nextProbeAtMillis;
+  private long nextSyncAtMillis;
+  private long lastFullTableAtMillis = Long.MIN_VALUE / 2;
+  private long nextGossipAtMillis;
+  private long nextReconnectAtMillis;
 
   /**
-   * Creates the state of a node that knows no other.
+   * Creates the state of a node that knows no other nodes.
    *
-   * @param self this node; its incarnation must be higher than in any earlier life, for which wall
-   *     clock milliseconds at start are good enough
-   * @param seeds addresses to contact while alone; may contain this node's own
+   * @param self this node; its incarnation must be higher than before a restart, for which the wall
+   *     clock in milliseconds at the start is sufficient
+   * @param seeds addresses to contact for as long as no reachable member has them; may include the
+   *     address of this node
    * @param settings timing and fan-out
-   * @param random source of all choices
-   * @param listener hears of changes
+   * @param random source of all random choices
+   * @param listener receives changes of members
    */
   public MembershipState(
       Member self,
@@ -76,22 +77,22 @@
     this.prober = new Prober(settings, table, composer);
   }
 
-  /** Returns this node as others should see it. */
+  /** Returns this node as it is announced to others. */
   public Member self() {
     return composer.self();
   }
 
-  /** Returns the beliefs of all other nodes, dead ones included. */
+  /** Returns all other known nodes, including dead ones. */
   public Collection<Member> others() {
     return List.copyOf(table.all());
   }
 
-  /** Returns the belief of another node. */
+  /** Returns another node, or empty if it is unknown. */
   public Optional<Member> find(String id) {
     return Optional.ofNullable(table.get(id));
   }
 
-  /** Returns the number of nodes that can be expected to answer, this one included. */
+  /** Returns the number of nodes that are not dead, including this one. */
   public int reachableCount() {
     int count = 1;
     for (Member member : table.all()) {
@@ -102,23 +103,23 @@
     return count;
   }
 
-  /** Sets the configuration version told in every message from now on. */
+  /** Sets the configuration version that is sent with every message from now on. */
   public void setConfigurationVersion(long version) {
     composer.setConfigurationVersion(version);
   }
 
-  /** Announces that this node leaves; it goes on to answer probes. */
+  /** Marks this node as leaving and queues an update for it; it continues to reply to probes. */
   public void leave() {
-    become(MemberStatus.LEAVING, self().incarnation() + 1);
+    updateSelf(MemberStatus.LEAVING, self().incarnation() + 1);
   }
 
-  /** Returns up to a number of random nodes that are believed alive. */
+  /** Returns up to {@code count} distinct random nodes that are known as alive. */
   public List<Member> randomAlive(int count) {
     return table.sample(count, Member::isAlive);
   }
 
   /**
-   * Returns a message from this node with the next gossip on it.
+   * Returns a message from this node with the next queued updates.
    *
    * @param body one of the bodies of {@link PeerMessage}
    */
@@ -127,47 +128,47 @@
   }
 
   /**
-   * Lets time pass.
+   * Runs the periodic tasks that are due.
    *
    * @param nowMillis monotonic time
    * @return messages to send
    */
   public List<Outbound> tick(long nowMillis) {
-    forgivePause(nowMillis);
-    lastTick = nowMillis;
+    compensateForPause(nowMillis);
+    lastTickMillis = nowMillis;
     List<Outbound> outbound = new ArrayList<>();
-    prober.check(nowMillis, outbound).forEach(member -> suspect(member, nowMillis));
+    prober.checkTimeouts(nowMillis, outbound).forEach(member -> suspect(member, nowMillis));
     expireSuspects(nowMillis);
-    forgetDead(nowMillis);
-    if (nowMillis >= nextProbeAt) {
-      nextProbeAt = nowMillis + settings.probeIntervalMillis();
+    removeExpiredDead(nowMillis);
+    if (nowMillis >= nextProbeAtMillis) {
+      nextProbeAtMillis = nowMillis + settings.probeIntervalMillis();
       table.nextToProbe().ifPresent(member -> prober.probe(member, nowMillis, outbound));
     }
-    if (nowMillis >= nextGossipAt) {
-      nextGossipAt = nowMillis + settings.gossipIntervalMillis();
+    if (nowMillis >= nextGossipAtMillis) {
+      nextGossipAtMillis = nowMillis + settings.gossipIntervalMillis();
       gossip(outbound);
     }
-    if (nowMillis >= nextReconnectAt) {
-      nextReconnectAt = nowMillis + settings.reconnectMillis();
+    if (nowMillis >= nextReconnectAtMillis) {
+      nextReconnectAtMillis = nowMillis + settings.reconnectMillis();
       reconnect(outbound);
     }
-    if (nowMillis >= nextSynchronizationAt) {
-      nextSynchronizationAt = nowMillis + jittered(settings.synchronizationMillis());
+    if (nowMillis >= nextSyncAtMillis) {
+      nextSyncAtMillis = nowMillis + jittered(settings.synchronizationMillis());
       synchronize(outbound);
     }
     return outbound;
   }
 
   /**
-   * After a pause of this process every probe looks unanswered and every suspicion looks ripe,
-   * though the others had no chance to be heard. Such probes are dropped and suspicions prolonged.
+   * Drops all pending probes and prolongs all suspicions if this process was paused. Otherwise all
+   * of them would seem to have timed out, although replies could not be received during the pause.
    */
-  private void forgivePause(long nowMillis) {
-    if (lastTick == Long.MIN_VALUE) {
+  private void compensateForPause(long nowMillis) {
+    if (lastTickMillis == Long.MIN_VALUE) {
       return;
     }
-    long gap = nowMillis - lastTick;
-    if (gap > settings.probeTimeoutMillis() * PAUSE_IN_PROBE_TIMEOUTS) {
+    long gap = nowMillis - lastTickMillis;
+    if (gap > settings.probeTimeoutMillis() * PAUSE_THRESHOLD_PROBE_TIMEOUTS) {
       prober.clear();
       table.shiftStatusTimes(gap);
     }
@@ -177,9 +178,9 @@
     return millis / 2 + random.nextLong(millis);
   }
 
-  /** Sends news on faster than probes would carry it, and nothing while there is none. */
+  /** Disseminates queued updates and new configuration versions faster than probes alone would. */
   private void gossip(List<Outbound> outbound) {
-    if (!composer.beginRound()) {
+    if (!composer.startRound()) {
       return;
     }
     for (Member member : table.sample(settings.gossipFanout(), Member::isReachable)) {
@@ -189,49 +190,50 @@
 
   private void suspect(Member target, long nowMillis) {
     if (target.status() != MemberStatus.SUSPECT) {
-      accept(target.with(MemberStatus.SUSPECT, target.incarnation()), nowMillis);
+      update(target.withStatus(MemberStatus.SUSPECT, target.incarnation()), nowMillis);
     }
   }
 
   private void expireSuspects(long nowMillis) {
-    List<Member> ripe =
-        table.inStatusLongerThan(MemberStatus.SUSPECT, settings.suspicionMillis(), nowMillis);
-    for (Member member : ripe) {
-      accept(member.with(MemberStatus.DEAD, member.incarnation()), nowMillis);
+    List<Member> expired =
+        table.withStatusForAtLeast(MemberStatus.SUSPECT, settings.suspicionMillis(), nowMillis);
+    for (Member member : expired) {
+      update(member.withStatus(MemberStatus.DEAD, member.incarnation()), nowMillis);
     }
   }
 
-  private void forgetDead(long nowMillis) {
-    List<Member> old =
-        table.inStatusLongerThan(MemberStatus.DEAD, settings.deadRetentionMillis(), nowMillis);
-    for (Member member : old) {
+  private void removeExpiredDead(long nowMillis) {
+    List<Member> expired =
+        table.withStatusForAtLeast(MemberStatus.DEAD, settings.deadRetentionMillis(), nowMillis);
+    for (Member member : expired) {
       table.remove(member.id());
     }
   }
 
   private void reconnect(List<Outbound> outbound) {
-    List<InetSocketAddress> strangers = seedsNotKnown();
-    if (!strangers.isEmpty()) {
-      InetSocketAddress seed = strangers.get(random.nextInt(strangers.size()));
+    List<InetSocketAddress> unknownSeeds = unknownSeeds();
+    if (!unknownSeeds.isEmpty()) {
+      InetSocketAddress seed = unknownSeeds.get(random.nextInt(unknownSeeds.size()));
       outbound.add(new Outbound(seed, composer.compose(new Join())));
     }
     for (Member dead : table.sample(1, member -> !member.isReachable())) {
-      tellOfDeath(dead, outbound);
+      probeDeadMember(dead, outbound);
     }
   }
 
-  /** Told of its own death in a probe, a member that lives refutes it in its answer. */
-  private void tellOfDeath(Member dead, List<Outbound> outbound) {
+  /** Probes a member with an update of its own death, which it refutes if it is running. */
+  private void probeDeadMember(Member dead, List<Outbound> outbound) {
     PeerMessage message =
         composer.compose(new Ping(), composer.nextSequence(), List.of(dead.toUpdate()));
     outbound.add(new Outbound(dead.peerAddress(), message));
   }
 
   /**
-   * Returns seeds that no reachable member stands at. They are contacted also by a node that knows
-   * others: nodes that start together can form islands, and only the seeds join them.
+   * Returns the seeds whose address belongs to no reachable member. A node contacts them even if it
+   * knows other nodes: nodes that start at the same time can form separate groups, which only the
+   * seeds connect.
    */
-  private List<InetSocketAddress> seedsNotKnown() {
+  private List<InetSocketAddress> unknownSeeds() {
     List<InetSocketAddress> unknown = new ArrayList<>(seeds);
     unknown.remove(self().peerAddress());
     for (Member member : table.all()) {
@@ -249,7 +251,7 @@
     }
   }
 
-  private PeerMessage wholeTable() {
+  private PeerMessage fullTable() {
     return composer.compose(
         new TableContents(true), composer.nextSequence(), updatesOf(table.reachable()));
   }
@@ -259,10 +261,10 @@
   }
 
   /**
-   * Takes in a message.
+   * Processes a message.
    *
-   * @param message what arrived; bodies that are no matter of membership are ignored, their
-   *     envelope is not
+   * @param message the received message; a body that does not concern membership is ignored, but
+   *     the sender and the updates of the message are processed
    * @param nowMillis monotonic time
    * @return messages to send
    */
@@ -272,126 +274,126 @@
     if (sender.id().equals(self().id())) {
       return outbound;
     }
-    boolean wasDead = isBelievedDead(sender);
-    consider(sender, nowMillis);
-    int learnt = 0;
+    boolean wasDead = isKnownDead(sender);
+    merge(sender, nowMillis);
+    int applied = 0;
     for (MemberUpdate update : message.getUpdates()) {
-      learnt += consider(Member.of(update), nowMillis) ? 1 : 0;
+      applied += merge(Member.of(update), nowMillis) ? 1 : 0;
     }
-    answer(message, sender, nowMillis, outbound);
+    reply(message, sender, nowMillis, outbound);
     if (wasDead) {
-      greetReturned(sender, outbound);
+      probeIfStillDead(sender, outbound);
     }
-    if (wasDead || message.getBody() instanceof TableContents && learnt > 0) {
-      // Who learnt much at once is likely to lack more; the next comparison comes soon.
-      nextSynchronizationAt =
-          Math.min(
-              nextSynchronizationAt, nowMillis + jittered(settings.wholeTableIntervalMillis()));
+    if (wasDead || message.getBody() instanceof TableContents && applied > 0) {
+      // A node that has just received many updates probably misses more: compares tables soon.
+      nextSyncAtMillis =
+          Math.min(nextSyncAtMillis, nowMillis + jittered(settings.fullTableIntervalMillis()));
     }
     return outbound;
   }
 
-  private boolean isBelievedDead(Member member) {
-    return find(member.id()).map(belief -> !belief.isReachable()).orElse(false);
+  private boolean isKnownDead(Member member) {
+    return find(member.id()).map(known -> !known.isReachable()).orElse(false);
   }
 
   /**
-   * A member that was taken for dead and speaks again either has a new incarnation already, and
-   * then has news of many members, or must be told of its death to take one. It is told in a probe,
-   * whose answer shows the new incarnation, so the exchange ends there on both sides.
+   * Handles a message of a member that was known as dead. If the message had a new incarnation, the
+   * member is no longer dead here. Otherwise the member must learn of its death to adopt a new
+   * incarnation. A probe informs it, and the acknowledgement carries the new incarnation, which
+   * ends the exchange on both sides.
    */
-  private void greetReturned(Member sender, List<Outbound> outbound) {
-    if (isBelievedDead(sender)) {
-      tellOfDeath(table.get(sender.id()), outbound);
+  private void probeIfStillDead(Member sender, List<Outbound> outbound) {
+    if (isKnownDead(sender)) {
+      probeDeadMember(table.get(sender.id()), outbound);
     }
   }
 
-  private void answer(PeerMessage message, Member sender, long nowMillis, List<Outbound> outbound) {
+  private void reply(PeerMessage message, Member sender, long nowMillis, List<Outbound> outbound) {
     Object body = message.getBody();
     if (body instanceof Ping) {
-      List<MemberUpdate> updates = composer.takeNews();
+      List<MemberUpdate> updates = composer.takeUpdates();
       PeerMessage reply = composer.compose(new Ack(self().id()), message.getSequence(), updates);
       outbound.add(new Outbound(sender.peerAddress(), reply));
     } else if (body instanceof Ack ack) {
-      prober.acknowledged(ack, message.getSequence(), outbound);
+      prober.onAcknowledgement(ack, message.getSequence(), outbound);
     } else if (body instanceof IndirectPing request) {
-      prober.probeOnBehalf(request, sender, message.getSequence(), outbound);
+      prober.relayProbe(request, sender, message.getSequence(), outbound);
     } else if (body instanceof Join) {
-      List<Member> some = table.sample(JOIN_SAMPLE, Member::isReachable);
+      List<Member> some = table.sample(JOIN_SAMPLE_SIZE, Member::isReachable);
       PeerMessage reply =
           composer.compose(new TableContents(false), composer.nextSequence(), updatesOf(some));
       outbound.add(new Outbound(sender.peerAddress(), reply));
     } else if (body instanceof TableDigest digest) {
-      answerDigest(digest, sender, nowMillis, outbound);
+      replyToDigest(digest, sender, nowMillis, outbound);
     } else if (body instanceof TableContents contents) {
-      answerContents(contents, message.getUpdates(), sender, outbound);
+      replyToContents(contents, message.getUpdates(), sender, outbound);
     }
   }
 
   /**
-   * Answers a differing digest with the whole table. Tables are large, so a node sends at most one
-   * in an interval: after a cut has healed or a herd has restarted, everyone differs from everyone,
-   * and who is not answered asks another node a little later.
+   * Replies to a differing digest with the full table. Tables are large, so a node sends at most
+   * one per interval: after a network partition or a simultaneous restart of many nodes, the tables
+   * of all nodes differ. A node that receives no reply sends its digest to another node later.
    */
-  private void answerDigest(
+  private void replyToDigest(
       TableDigest digest, Member sender, long nowMillis, List<Outbound> outbound) {
     boolean differs = digest.getDigest() != table.digestWith(self());
-    if (differs && nowMillis - lastWholeTableAt >= settings.wholeTableIntervalMillis()) {
-      lastWholeTableAt = nowMillis;
-      outbound.add(new Outbound(sender.peerAddress(), wholeTable()));
+    if (differs && nowMillis - lastFullTableAtMillis >= settings.fullTableIntervalMillis()) {
+      lastFullTableAtMillis = nowMillis;
+      outbound.add(new Outbound(sender.peerAddress(), fullTable()));
     }
   }
 
-  private void answerContents(
+  private void replyToContents(
       TableContents contents, List<MemberUpdate> updates, Member sender, List<Outbound> outbound) {
     if (!contents.getReplyWanted()) {
       return;
     }
-    List<Member> better = table.reachable();
+    List<Member> newer = table.reachable();
     Map<String, Long> known = new HashMap<>();
     updates.forEach(update -> known.put(update.getId(), update.getIncarnation()));
-    better.removeIf(
+    newer.removeIf(
         member -> known.getOrDefault(member.id(), Long.MIN_VALUE) >= member.incarnation());
-    better.removeIf(member -> member.id().equals(sender.id()));
-    if (!better.isEmpty()) {
+    newer.removeIf(member -> member.id().equals(sender.id()));
+    if (!newer.isEmpty()) {
       PeerMessage reply =
-          composer.compose(new TableContents(false), composer.nextSequence(), updatesOf(better));
+          composer.compose(new TableContents(false), composer.nextSequence(), updatesOf(newer));
       outbound.add(new Outbound(sender.peerAddress(), reply));
     }
   }
 
-  /** Weighs news of a member and returns whether they were new. */
-  private boolean consider(Member news, long nowMillis) {
-    if (news.id().equals(self().id())) {
-      refute(news);
+  /** Applies a received member unless it is outdated, and returns whether it was applied. */
+  private boolean merge(Member received, long nowMillis) {
+    if (received.id().equals(self().id())) {
+      refute(received);
       return false;
     }
-    Member known = table.get(news.id());
-    boolean deadStranger = known == null && !news.isReachable();
-    if (deadStranger || known != null && !news.supersedes(known)) {
+    Member known = table.get(received.id());
+    boolean unknownDead = known == null && !received.isReachable();
+    if (unknownDead || known != null && !received.supersedes(known)) {
       return false;
     }
-    accept(news, nowMillis);
+    update(received, nowMillis);
     return true;
   }
 
-  private void accept(Member member, long nowMillis) {
+  private void update(Member member, long nowMillis) {
     table.put(member, nowMillis);
-    composer.spread(member, reachableCount());
+    composer.enqueue(member, reachableCount());
     listener.memberChanged(member);
   }
 
-  /** Any belief of this node that is not its own is answered with a later incarnation. */
-  private void refute(Member news) {
-    boolean isOlder = news.incarnation() < self().incarnation();
-    boolean isOwn = news.incarnation() == self().incarnation() && news.status() == self().status();
-    if (!isOlder && !isOwn) {
-      become(self().status(), news.incarnation() + 1);
+  /** Adopts a later incarnation unless the received state of this node is outdated or current. */
+  private void refute(Member state) {
+    boolean isOlder = state.incarnation() < self().incarnation();
+    boolean same = state.incarnation() == self().incarnation() && state.status() == self().status();
+    if (!isOlder && !same) {
+      updateSelf(self().status(), state.incarnation() + 1);
     }
   }
 
-  private void become(MemberStatus status, long incarnation) {
-    composer.setSelf(self().with(status, incarnation));
-    composer.spread(self(), reachableCount());
+  private void updateSelf(MemberStatus status, long incarnation) {
+    composer.setSelf(self().withStatus(status, incarnation));
+    composer.enqueue(self(), reachableCount());
   }
 }
--- a/coordination/src/main/java/org/lockdale/coordination/membership/MessageComposer.java
+++ b/coordination/src/main/java/org/lockdale/coordination/membership/MessageComposer.java
@@ -5,18 +5,19 @@
 import org.lockdale.protocol.generated.PeerMessage;
 
 /**
- * Writes the messages of one node: who it is, what it has in force, and the news that ride along.
+ * Composes the messages of one node, which carry its own state, its configuration version and
+ * queued member updates.
  */
 final class MessageComposer {
 
-  /** Rounds of gossip that tell of a new configuration version, besides all other messages. */
-  private static final int VERSION_ROUNDS = 6;
+  /** Number of gossip rounds that are sent for a new configuration version. */
+  private static final int VERSION_GOSSIP_ROUNDS = 6;
 
   private final MembershipSettings settings;
   private final GossipQueue gossip = new GossipQueue();
   private Member self;
   private long configurationVersion;
-  private int versionRounds;
+  private int versionRoundsLeft;
   private long sequence;
 
   MessageComposer(Member self, MembershipSettings settings) {
@@ -34,40 +35,40 @@
 
   void setConfigurationVersion(long version) {
     configurationVersion = version;
-    versionRounds = VERSION_ROUNDS;
+    versionRoundsLeft = VERSION_GOSSIP_ROUNDS;
   }
 
-  /** Queues news to be sent on, more often the more members there are. */
-  void spread(Member member, int reachableMembers) {
+  /** Queues an update of a member, which is sent more often the more members there are. */
+  void enqueue(Member member, int reachableMembers) {
     int digits = String.valueOf(reachableMembers).length();
     gossip.add(member, settings.transmissionFactor() * digits);
   }
 
-  /** Begins a round of gossip; false where there is nothing to tell. */
-  boolean beginRound() {
-    boolean tellsVersion = versionRounds > 0;
-    versionRounds = Math.max(0, versionRounds - 1);
-    return tellsVersion || gossip.size() > 0;
+  /** Starts a round of gossip; returns false if there is nothing to send. */
+  boolean startRound() {
+    boolean hasNewVersion = versionRoundsLeft > 0;
+    versionRoundsLeft = Math.max(0, versionRoundsLeft - 1);
+    return hasNewVersion || gossip.size() > 0;
   }
 
-  /** Returns a number that pairs a probe with its acknowledgement. */
+  /** Returns the next sequence number, by which acknowledgements are matched to probes. */
   long nextSequence() {
     sequence++;
     return sequence;
   }
 
-  /** Takes the news that ride on the next message. */
-  List<MemberUpdate> takeNews() {
+  /** Takes the updates to send with the next message. */
+  List<MemberUpdate> takeUpdates() {
     return gossip.take(settings.maxUpdatesPerMessage());
   }
 
-  /** Returns a message with news, paired with no other. */
+  /** Returns a message with queued updates and a new sequence number. */
   PeerMessage compose(Object body) {
-    return compose(body, nextSequence(), takeNews());
+    return compose(body, nextSequence(), takeUpdates());
   }
 
-  /** Returns a message with given updates. */
-  PeerMessage compose(Object body, long pairing, List<MemberUpdate> updates) {
-    return new PeerMessage(self.toUpdate(), pairing, configurationVersion, updates, body);
+  /** Returns a message with the given updates and sequence number. */
+  PeerMessage compose(Object body, long messageSequence, List<MemberUpdate> updates) {
+    return new PeerMessage(self.toUpdate(), messageSequence, configurationVersion, updates, body);
   }
 }
--- a/coordination/src/main/java/org/lockdale/coordination/membership/Outbound.java
+++ b/coordination/src/main/java/org/lockdale/coordination/membership/Outbound.java
@@ -4,9 +4,10 @@
 import org.lockdale.protocol.generated.PeerMessage;
 
 /**
- * A message that a state machine wants to be sent. Loss is expected and needs no report.
+ * A message that a state machine requests to be sent. Messages may be lost; losses need not be
+ * reported.
  *
- * @param destination peer address
- * @param message what to send
+ * @param destination peer address of the receiver
+ * @param message the message to send
  */
 public record Outbound(InetSocketAddress destination, PeerMessage message) {}
--- a/coordination/src/main/java/org/lockdale/coordination/membership/Prober.java
+++ b/coordination/src/main/java/org/lockdale/coordination/membership/Prober.java
@@ -14,13 +14,13 @@
 import org.lockdale.protocol.generated.PeerMessage;
 import org.lockdale.protocol.generated.Ping;
 
-/** Probes members directly, then through others, and relays the probes of others. */
+/** Probes members, first directly and then through other members, and relays probes for others. */
 final class Prober {
 
-  /** Most probes made for others that may wait for their acknowledgement at once. */
-  private static final int MAX_RELAYS = 256;
+  /** Maximum number of relayed probes that await their acknowledgement. */
+  private static final int MAX_RELAYED_PROBES = 256;
 
-  private record Relay(InetSocketAddress asker, long pairing) {}
+  private record RelayedProbe(InetSocketAddress requester, long sequence) {}
 
   private static final class Probe {
     final String target;
@@ -37,7 +37,7 @@
   private final MemberTable table;
   private final MessageComposer composer;
   private final Map<Long, Probe> probes = new LinkedHashMap<>();
-  private final Map<Long, Relay> relays = new BoundedMap<>(MAX_RELAYS);
+  private final Map<Long, RelayedProbe> relayedProbes = new BoundedMap<>(MAX_RELAYED_PROBES);
 
   Prober(MembershipSettings settings, MemberTable table, MessageComposer composer) {
     this.settings = settings;
@@ -45,7 +45,7 @@
     this.composer = composer;
   }
 
-  /** Forgets all probes that wait. */
+  /** Drops all pending probes. */
   void clear() {
     probes.clear();
   }
@@ -53,9 +53,9 @@
   void probe(Member target, long nowMillis, List<Outbound> outbound) {
     long sequence = composer.nextSequence();
     probes.put(sequence, new Probe(target.id(), nowMillis));
-    List<MemberUpdate> updates = composer.takeNews();
+    List<MemberUpdate> updates = composer.takeUpdates();
     if (target.status() == MemberStatus.SUSPECT) {
-      // The suspect must hear of the suspicion to be able to refute it.
+      // The suspect can refute the suspicion only if it is informed of it.
       updates.add(target.toUpdate());
     }
     PeerMessage message = composer.compose(new Ping(), sequence, updates);
@@ -63,12 +63,13 @@
   }
 
   /**
-   * Goes through the probes that wait; those over their first timeout are helped by others.
+   * Checks the pending probes, and sends indirect ones for those that have reached the probe
+   * timeout.
    *
-   * @return members whose probe was not answered in any way
+   * @return members whose direct and indirect probes were not acknowledged
    */
-  List<Member> check(long nowMillis, List<Outbound> outbound) {
-    List<Member> unanswered = new ArrayList<>();
+  List<Member> checkTimeouts(long nowMillis, List<Outbound> outbound) {
+    List<Member> unacknowledged = new ArrayList<>();
     Iterator<Map.Entry<Long, Probe>> iterator = probes.entrySet().iterator();
     while (iterator.hasNext()) {
       Map.Entry<Long, Probe> entry = iterator.next();
@@ -79,46 +80,47 @@
         iterator.remove();
       } else if (age >= settings.probeIntervalMillis()) {
         iterator.remove();
-        unanswered.add(target);
+        unacknowledged.add(target);
       } else if (age >= settings.probeTimeoutMillis() && !probe.indirectSent) {
         probe.indirectSent = true;
-        askOthers(target, entry.getKey(), outbound);
+        sendIndirectProbes(target, entry.getKey(), outbound);
       }
     }
-    return unanswered;
+    return unacknowledged;
   }
 
-  private void askOthers(Member target, long pairing, List<Outbound> outbound) {
+  private void sendIndirectProbes(Member target, long sequence, List<Outbound> outbound) {
     List<Member> helpers =
         table.sampleAcrossZones(
             settings.indirectProbes(),
             member -> member.isAlive() && !member.id().equals(target.id()));
     for (Member helper : helpers) {
       IndirectPing body = new IndirectPing(target.toUpdate());
-      PeerMessage message = composer.compose(body, pairing, List.of());
+      PeerMessage message = composer.compose(body, sequence, List.of());
       outbound.add(new Outbound(helper.peerAddress(), message));
     }
   }
 
-  void probeOnBehalf(IndirectPing request, Member asker, long pairing, List<Outbound> outbound) {
+  void relayProbe(
+      IndirectPing request, Member requester, long requesterSequence, List<Outbound> outbound) {
     long sequence = composer.nextSequence();
-    relays.put(sequence, new Relay(asker.peerAddress(), pairing));
+    relayedProbes.put(sequence, new RelayedProbe(requester.peerAddress(), requesterSequence));
     Member target = Member.of(request.getTarget());
     PeerMessage message = composer.compose(new Ping(), sequence, List.of());
     outbound.add(new Outbound(target.peerAddress(), message));
   }
 
-  void acknowledged(Ack ack, long pairing, List<Outbound> outbound) {
-    Relay relay = relays.remove(pairing);
+  void onAcknowledgement(Ack ack, long sequence, List<Outbound> outbound) {
+    RelayedProbe relay = relayedProbes.remove(sequence);
     if (relay != null) {
-      // The acknowledgement goes back the way the probe came, since the direct way may be cut.
-      PeerMessage relayed = composer.compose(ack, relay.pairing(), List.of());
-      outbound.add(new Outbound(relay.asker(), relayed));
+      // Returned to the node that requested the probe, since it may not reach the target itself.
+      PeerMessage relayed = composer.compose(ack, relay.sequence(), List.of());
+      outbound.add(new Outbound(relay.requester(), relayed));
       return;
     }
-    Probe probe = probes.get(pairing);
+    Probe probe = probes.get(sequence);
     if (probe != null && probe.target.equals(ack.getSubject())) {
-      probes.remove(pairing);
+      probes.remove(sequence);
     }
   }
 }
--- a/coordination/src/main/java/org/lockdale/coordination/membership/package-info.java
+++ b/coordination/src/main/java/org/lockdale/coordination/membership/package-info.java
@@ -1,4 +1,4 @@
-/** Which nodes are alive: SWIM probing, suspicion, refutation and gossip, without I/O. */
+/** Cluster membership: SWIM probing, suspicion, refutation and gossip, without I/O. */
 @NullMarked
 package org.lockdale.coordination.membership;
 
--- a/coordination/src/main/java/org/lockdale/coordination/node/CoordinationNode.java
+++ b/coordination/src/main/java/org/lockdale/coordination/node/CoordinationNode.java
@@ -18,35 +18,36 @@
 import org.lockdale.protocol.generated.PeerMessage;
 
 /**
- * Everything one node does with its peers: membership, and the spread of configuration on the same
- * messages. Every message tells the version in force at its sender; who hears of a newer one pulls
- * it from there, puts it in force and announces it to a few random members, so a change reaches all
- * nodes in a few rounds and one lost message only delays it until the next.
+ * Exchanges membership and configuration with the other nodes of a cluster. Every message carries
+ * the configuration version of its sender. A node that receives a higher version than its own pulls
+ * the configuration from the sender, applies it and announces it to a few random members, so a
+ * change reaches all nodes within a few rounds, and a lost message delays it only until the next
+ * one.
  *
  * <p>A state machine without I/O, not safe for use by several threads.
  */
 public final class CoordinationNode {
 
-  /** Members told at once of a new version by each node that learns it. */
+  /** Number of members to which a node announces a new version as soon as it has applied it. */
   private static final int ANNOUNCEMENT_FANOUT = 4;
 
-  /** Time until an unanswered pull may be sent again. */
+  /** Time in milliseconds after which a pull without a reply may be sent again. */
   private static final long PULL_TIMEOUT_MILLIS = 300;
 
   private final MembershipState membership;
   private final ConfigurationReplica configuration = new ConfigurationReplica();
   private final CoordinationListener listener;
-  private long lastPullAt = Long.MIN_VALUE / 2;
-  private long highestVersionHeard;
+  private long lastPullAtMillis = Long.MIN_VALUE / 2;
+  private long highestKnownVersion;
 
   /**
-   * Creates a node that knows no other.
+   * Creates a node that knows no other nodes.
    *
    * @param self this node
-   * @param seeds addresses to contact while alone
+   * @param seeds addresses to contact for as long as no reachable member has them
    * @param settings timing of membership
-   * @param random source of all choices
-   * @param listener hears what is learnt
+   * @param random source of all random choices
+   * @param listener receives changes of members and of the configuration
    */
   public CoordinationNode(
       Member self,
@@ -58,37 +59,37 @@
     this.membership = new MembershipState(self, seeds, settings, random, listener::memberChanged);
   }
 
-  /** Returns the membership of this node; to be read on the driving thread. */
+  /** Returns the membership state of this node; to be read on the driving thread only. */
   public MembershipState membership() {
     return membership;
   }
 
-  /** Returns the configuration in force at this node. */
+  /** Returns the configuration that this node has applied. */
   public ConfigurationState configuration() {
     return configuration.state();
   }
 
-  /** Returns the highest version heard of, which this node may still lack. */
-  public long highestVersionHeard() {
-    return Math.max(highestVersionHeard, configuration.version());
+  /** Returns the highest version received from any node; this node may not have applied it yet. */
+  public long highestKnownVersion() {
+    return Math.max(highestKnownVersion, configuration.version());
   }
 
-  /** Lets time pass and returns messages to send. */
+  /** Runs the periodic tasks that are due and returns the messages to send. */
   public List<Outbound> tick(long nowMillis) {
     return membership.tick(nowMillis);
   }
 
-  /** Takes in a message and returns messages to send. */
+  /** Processes a message and returns the messages to send. */
   public List<Outbound> receive(PeerMessage message, long nowMillis) {
     List<Outbound> outbound = membership.receive(message, nowMillis);
-    Member sender = memberOf(message);
+    Member sender = findSender(message);
     if (sender == null) {
       return outbound;
     }
-    highestVersionHeard = Math.max(highestVersionHeard, message.getConfigurationVersion());
+    highestKnownVersion = Math.max(highestKnownVersion, message.getConfigurationVersion());
     Object body = message.getBody();
     if (body instanceof ConfigurationTransfer transfer) {
-      lastPullAt = Long.MIN_VALUE / 2;
+      lastPullAtMillis = Long.MIN_VALUE / 2;
       outbound.addAll(accept(transfer));
     } else if (body instanceof ConfigurationPull pull) {
       ConfigurationTransfer reply = configuration.transferAfter(pull.getAfterVersion());
@@ -98,25 +99,25 @@
     return outbound;
   }
 
-  private @Nullable Member memberOf(PeerMessage message) {
+  private @Nullable Member findSender(PeerMessage message) {
     return membership.find(message.getSender().getId()).orElse(null);
   }
 
   private void pullIfBehind(
       long senderVersion, Member sender, long nowMillis, List<Outbound> outbound) {
     boolean behind = senderVersion > configuration.version();
-    if (!behind || nowMillis - lastPullAt < PULL_TIMEOUT_MILLIS) {
+    if (!behind || nowMillis - lastPullAtMillis < PULL_TIMEOUT_MILLIS) {
       return;
     }
-    lastPullAt = nowMillis;
+    lastPullAtMillis = nowMillis;
     ConfigurationPull pull = new ConfigurationPull(configuration.version());
     outbound.add(new Outbound(sender.peerAddress(), membership.compose(pull)));
   }
 
   /**
-   * Takes in configuration from a peer or from the table service.
+   * Applies configuration from a peer or from the table service.
    *
-   * @return announcements to send where the version rose
+   * @return announcements to send; empty if the version did not rise
    */
   public List<Outbound> accept(ConfigurationTransfer transfer) {
     List<Outbound> outbound = new ArrayList<>();
@@ -133,27 +134,27 @@
   }
 
   /**
-   * Returns whether this node polls the table service for its zone. All members of a zone agree on
-   * one poller as far as they agree on who is alive; where they do not, two poll, which costs a
-   * read and harms nothing.
+   * Returns whether this node polls the table service for its zone. The members of a zone that
+   * agree on which nodes are alive select the same poller. While they disagree, two of them may
+   * poll, which costs an additional read and has no other effect.
    */
   public boolean isConfigurationPoller() {
     Member self = membership.self();
     long zoneKey = Rendezvous.identityOf(self.zone());
-    long ownWeight = Rendezvous.weight(zoneKey, Rendezvous.identityOf(self.id()));
+    long selfWeight = Rendezvous.weight(zoneKey, Rendezvous.identityOf(self.id()));
     for (Member other : membership.others()) {
       if (!other.isAlive() || !other.zone().equals(self.zone())) {
         continue;
       }
       long weight = Rendezvous.weight(zoneKey, Rendezvous.identityOf(other.id()));
-      if (Long.compareUnsigned(weight, ownWeight) > 0) {
+      if (Long.compareUnsigned(weight, selfWeight) > 0) {
         return false;
       }
     }
     return true;
   }
 
-  /** Announces that this node leaves, and returns messages to send. */
+  /** Marks this node as leaving and returns the announcements to send. */
   public List<Outbound> leave() {
     membership.leave();
     List<Outbound> outbound = new ArrayList<>();
--- a/coordination/src/main/java/org/lockdale/coordination/node/package-info.java
+++ b/coordination/src/main/java/org/lockdale/coordination/node/package-info.java
@@ -1,4 +1,4 @@
-/** One node's coordination state machine: membership and the spread of configuration. */
+/** The coordination state machine of a node: membership and dissemination of configuration. */
 @NullMarked
 package org.lockdale.coordination.node;
 
--- a/coordination/src/main/java/org/lockdale/coordination/simulation/LinkModel.java
+++ b/coordination/src/main/java/org/lockdale/coordination/simulation/LinkModel.java
@@ -2,10 +2,10 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Delay and loss of messages between two places of a simulated network. */
+/** Delay and loss of messages between the zones of a simulated network. */
 public interface LinkModel {
 
-  /** A message that is lost. */
+  /** Result for a message that is lost. */
   long LOST = -1;
 
   /**
@@ -13,7 +13,7 @@
    *
    * @param fromZone zone of the sender
    * @param toZone zone of the receiver
-   * @param random source of all choices
+   * @param random source of random numbers
    * @return delay in microseconds, or {@link #LOST}
    */
   long delayMicros(String fromZone, String toZone, UniformRandomProvider random);
--- a/coordination/src/main/java/org/lockdale/coordination/simulation/SimulatedCluster.java
+++ b/coordination/src/main/java/org/lockdale/coordination/simulation/SimulatedCluster.java
@@ -20,25 +20,25 @@
 import org.lockdale.protocol.generated.PeerMessage;
 
 /**
- * Many nodes in one process on a virtual clock and a simulated network. Messages are encoded and
- * decoded as by the daemon, so bytes and processor time are real; delays and losses follow from one
- * seed.
+ * A cluster of nodes in one process, on a virtual clock and a simulated network. Messages are
+ * encoded and decoded with the production codec, so message sizes and processor times are real.
+ * Delays and losses are determined by a seed.
  */
 public final class SimulatedCluster {
 
-  /** Authentication code, and UDP and IPv4 headers, that each message carries besides its own. */
+  /** Size of the authentication code and of the UDP and IPv4 headers of a message. */
   private static final int OVERHEAD_BYTES = 16 + 8 + 20;
 
   private static final long TICK_MICROS = 100_000;
   private static final int SEEDS = 3;
   private static final int PORT = 7080;
 
-  /** Hears of what nodes learn. */
+  /** Receives the state changes of all nodes. */
   public interface Observer {
-    /** Called after a node replaced its belief of a member. */
+    /** Called after a node added a member or changed what it knows of one. */
     void memberChanged(SimulatedNode node, Member member);
 
-    /** Called after a version came into force at a node. */
+    /** Called after a configuration version took effect at a node. */
     void configurationChanged(SimulatedNode node, long version);
   }
 
@@ -54,10 +54,10 @@
   /**
    * Creates a cluster without nodes.
    *
-   * @param seed decides everything
-   * @param links delays, losses and cuts
+   * @param seed seed of all random choices
+   * @param links delays, losses and network partitions
    * @param settings timing of membership
-   * @param observer hears of what nodes learn
+   * @param observer receives the state changes of all nodes
    */
   public SimulatedCluster(
       long seed, ZonedLinks links, MembershipSettings settings, Observer observer) {
@@ -67,7 +67,7 @@
     this.observer = observer;
   }
 
-  /** Adds and starts a node; the first nodes are the seeds of the others. */
+  /** Adds and starts a node; the first nodes are the seeds of all others. */
   public SimulatedNode add(String id, String zone) {
     SimulatedNode node = new SimulatedNode(id, zone, addressOf(nodes.size()));
     nodes.put(id, node);
@@ -85,15 +85,15 @@
     }
   }
 
-  /** Starts a node that was killed; it has forgotten everything. */
+  /** Restarts a killed node without its former state. */
   public void restart(SimulatedNode node) {
     start(node);
   }
 
   private void start(SimulatedNode node) {
-    UniformRandomProvider own = RandomSource.XO_RO_SHI_RO_128_PP.create(random.nextLong());
-    node.begin(time.wallMillis(), seeds(), settings, own, listenerOf(node));
-    scheduleTick(node, node.life(), random.nextLong(TICK_MICROS));
+    UniformRandomProvider nodeRandom = RandomSource.XO_RO_SHI_RO_128_PP.create(random.nextLong());
+    node.start(time.wallMillis(), seeds(), settings, nodeRandom, listenerOf(node));
+    scheduleTick(node, node.incarnation(), random.nextLong(TICK_MICROS));
   }
 
   private List<InetSocketAddress> seeds() {
@@ -118,17 +118,17 @@
     };
   }
 
-  private void scheduleTick(SimulatedNode node, int life, long delayMicros) {
+  private void scheduleTick(SimulatedNode node, int incarnation, long delayMicros) {
     time.schedule(
         delayMicros,
         () -> {
-          if (!node.isUp() || node.life() != life) {
+          if (!node.isUp() || node.incarnation() != incarnation) {
             return;
           }
-          if (node.runs()) {
+          if (node.isRunning()) {
             node.tick(time.monotonicMillis(), outbound -> sendAll(node, outbound));
           }
-          scheduleTick(node, life, TICK_MICROS);
+          scheduleTick(node, incarnation, TICK_MICROS);
         });
   }
 
@@ -154,7 +154,7 @@
   }
 
   private void deliver(SimulatedNode receiver, byte[] bytes) {
-    if (!receiver.runs()) {
+    if (!receiver.isRunning()) {
       return;
     }
     receiver.meter().count(time.nowMicros(), bytes.length + OVERHEAD_BYTES);
@@ -164,12 +164,12 @@
     receiver.receive(message, time.monotonicMillis(), outbound -> sendAll(receiver, outbound));
   }
 
-  /** Puts an accepted change in force at one node, as after an operator's edit there. */
+  /** Applies an accepted change at one node, as after an operator's edit there. */
   public void accept(SimulatedNode node, ConfigurationChange change) {
     node.accept(change, outbound -> sendAll(node, outbound));
   }
 
-  /** Lets a node announce that it leaves; it goes on running. */
+  /** Makes a node announce that it is leaving; it continues to run. */
   public void leave(SimulatedNode node) {
     sendAll(node, node.coordination().leave());
   }
@@ -189,7 +189,10 @@
     return links;
   }
 
-  /** Returns the number of pairs of running nodes in which the first believes the second alive. */
+  /**
+   * Returns the number of ordered pairs of running nodes in which the first has the second as
+   * alive.
+   */
   public long alivePairs() {
     long pairs = 0;
     for (SimulatedNode node : nodes.values()) {
@@ -205,16 +208,17 @@
     return pairs;
   }
 
-  /** Returns whether every running node believes every running node alive. */
+  /** Returns whether every running node has all other running nodes as alive. */
   public boolean isConverged() {
     long up = nodes.values().stream().filter(SimulatedNode::isUp).count();
     return alivePairs() == up * (up - 1);
   }
 
   /**
-   * Runs until all agree.
+   * Runs the simulation until the cluster has converged.
    *
-   * @return milliseconds it took, or -1 where it did not happen within the bound
+   * @param boundMillis maximum time to run, in milliseconds
+   * @return the time that it took in milliseconds, or -1 if it did not converge within the bound
    */
   public long runUntilConverged(long boundMillis) {
     long start = time.monotonicMillis();
@@ -227,7 +231,7 @@
     return time.monotonicMillis() - start;
   }
 
-  /** Forgets all counts of all nodes. */
+  /** Resets the meters of all nodes. */
   public void resetMeters() {
     nodes.values().forEach(node -> node.meter().reset());
   }
--- a/coordination/src/main/java/org/lockdale/coordination/simulation/SimulatedNode.java
+++ b/coordination/src/main/java/org/lockdale/coordination/simulation/SimulatedNode.java
@@ -15,7 +15,7 @@
 import org.lockdale.protocol.generated.MemberStatus;
 import org.lockdale.protocol.generated.PeerMessage;
 
-/** One node of a {@link SimulatedCluster}: the daemon's own state machine on a virtual clock. */
+/** A node of a {@link SimulatedCluster}: the production state machine on a virtual clock. */
 public final class SimulatedNode {
 
   private final String id;
@@ -23,9 +23,9 @@
   private final InetSocketAddress address;
   private final TrafficMeter meter = new TrafficMeter();
   private CoordinationNode node;
-  private boolean up = true;
+  private boolean processUp = true;
   private boolean paused;
-  private int life;
+  private int incarnation;
 
   SimulatedNode(String id, String zone, InetSocketAddress address) {
     this.id = id;
@@ -33,17 +33,17 @@
     this.address = address;
   }
 
-  /** Begins a life with nothing known but the seeds. */
-  void begin(
+  /** Starts a new incarnation of the node, which knows only the seeds. */
+  void start(
       long wallMillis,
       List<InetSocketAddress> seeds,
       MembershipSettings settings,
       UniformRandomProvider random,
       CoordinationListener listener) {
-    life++;
-    up = true;
+    incarnation++;
+    processUp = true;
     paused = false;
-    Member self = new Member(id, wallMillis + life, address, 1, zone, MemberStatus.ALIVE);
+    Member self = new Member(id, wallMillis + incarnation, address, 1, zone, MemberStatus.ALIVE);
     node = new CoordinationNode(self, seeds, settings, random, listener);
   }
 
@@ -62,37 +62,37 @@
     return node;
   }
 
-  /** Returns the counts of this node. */
+  /** Returns the traffic and processor time of this node. */
   public TrafficMeter meter() {
     return meter;
   }
 
-  /** Returns whether the process runs, paused or not. */
+  /** Returns whether the process is up, even if it is paused. */
   public boolean isUp() {
-    return up;
+    return processUp;
   }
 
-  /** Ends the process without a word. */
+  /** Kills the process; it sends no further messages. */
   public void kill() {
-    up = false;
+    processUp = false;
   }
 
-  /** Stops the process from running; messages to it are lost meanwhile. */
+  /** Pauses the process; messages to it are lost until it resumes. */
   public void pause() {
     paused = true;
   }
 
-  /** Lets a paused process run again. */
+  /** Resumes a paused process. */
   public void resume() {
     paused = false;
   }
 
-  boolean runs() {
-    return up && !paused;
+  boolean isRunning() {
+    return processUp && !paused;
   }
 
-  int life() {
-    return life;
+  int incarnation() {
+    return incarnation;
   }
 
   InetSocketAddress address() {
@@ -117,7 +117,7 @@
     sender.accept(node.accept(new ConfigurationTransfer(null, List.of(change))));
   }
 
-  /** Returns the configuration in force. */
+  /** Returns the configuration that the node has applied. */
   public ConfigurationState configuration() {
     return node.configuration();
   }
--- a/coordination/src/main/java/org/lockdale/coordination/simulation/SimulatedTables.java
+++ b/coordination/src/main/java/org/lockdale/coordination/simulation/SimulatedTables.java
@@ -11,13 +11,13 @@
 import org.lockdale.coordination.table.TableServiceException.Kind;
 
 /**
- * A table service on a virtual clock. Calls take effect late, some long after their caller has
- * stopped waiting; some replies are lost; some calls are refused.
+ * A table service on a virtual clock. Calls take effect after a delay, some of them long after the
+ * timeout of the caller; some replies are lost, and some calls do not reach the service.
  */
 public final class SimulatedTables implements TableService {
 
   private static final long TIMEOUT_MICROS = 500_000;
-  private static final long USUAL_DELAY_MICROS = 5_000;
+  private static final long NORMAL_DELAY_MICROS = 5_000;
   private static final long LATE_DELAY_MICROS = 3_000_000;
   private static final int PER_MILLE = 1_000;
 
@@ -32,7 +32,7 @@
     this.random = random;
   }
 
-  /** Sets the share of calls that meet each kind of fault. */
+  /** Sets the probability of each kind of fault for a call, per mille. */
   public void setFaultPerMille(int perMille) {
     faultPerMille = perMille;
   }
@@ -53,33 +53,33 @@
     return call(() -> tables.replace(table, key, value, expectedVersion));
   }
 
-  private boolean fault() {
+  private boolean drawFault() {
     return random.nextInt(PER_MILLE) < faultPerMille;
   }
 
   private <T> CompletableFuture<T> call(Supplier<Optional<T>> operation) {
     CompletableFuture<T> reply = new CompletableFuture<>();
-    if (fault()) {
-      fail(reply, USUAL_DELAY_MICROS, Kind.UNREACHABLE);
+    if (drawFault()) {
+      fail(reply, NORMAL_DELAY_MICROS, Kind.UNREACHABLE);
       return reply;
     }
-    boolean late = fault();
-    boolean replyLost = fault();
-    long effectDelay = 1 + random.nextLong(late ? LATE_DELAY_MICROS : USUAL_DELAY_MICROS);
-    long replyDelay = 1 + random.nextLong(USUAL_DELAY_MICROS);
+    boolean late = drawFault();
+    boolean replyLost = drawFault();
+    long effectDelay = 1 + random.nextLong(late ? LATE_DELAY_MICROS : NORMAL_DELAY_MICROS);
+    long replyDelay = 1 + random.nextLong(NORMAL_DELAY_MICROS);
     time.schedule(
         effectDelay,
         () -> {
           Optional<T> result = operation.get();
           if (!replyLost) {
-            time.schedule(replyDelay, () -> answer(reply, result));
+            time.schedule(replyDelay, () -> completeReply(reply, result));
           }
         });
     fail(reply, TIMEOUT_MICROS, Kind.OUTCOME_UNKNOWN);
     return reply;
   }
 
-  private static <T> void answer(CompletableFuture<T> reply, Optional<T> result) {
+  private static <T> void completeReply(CompletableFuture<T> reply, Optional<T> result) {
     if (result.isPresent()) {
       reply.complete(result.get());
     } else {
--- a/coordination/src/main/java/org/lockdale/coordination/simulation/TrafficMeter.java
+++ b/coordination/src/main/java/org/lockdale/coordination/simulation/TrafficMeter.java
@@ -1,7 +1,8 @@
 package org.lockdale.coordination.simulation;
 
 /**
- * Counts what one simulated node sends, receives and computes, in total and in its worst second.
+ * Counts the messages, bytes and processor time of a simulated node in total, and its bytes in the
+ * second with the highest traffic.
  */
 public final class TrafficMeter {
 
@@ -30,7 +31,7 @@
     processorNanos += nanos;
   }
 
-  /** Forgets all counts. */
+  /** Resets all counts to zero. */
   public void reset() {
     messages = 0;
     bytes = 0;
@@ -40,24 +41,25 @@
     worstSecondBytes = 0;
   }
 
-  /** Returns messages sent and received. */
+  /** Returns the number of messages sent and received. */
   public long messages() {
     return messages;
   }
 
   /**
-   * Returns bytes sent and received, headers of UDP and IP and the authentication code included.
+   * Returns the number of bytes sent and received, including the UDP and IP headers and the
+   * authentication code.
    */
   public long bytes() {
     return bytes;
   }
 
-  /** Returns the most bytes sent and received in one second. */
+  /** Returns the highest number of bytes sent and received in one second. */
   public long worstSecondBytes() {
     return worstSecondBytes;
   }
 
-  /** Returns processor time spent in the state machine and the codec. */
+  /** Returns the time spent in the state machine and the codec, in nanoseconds. */
   public long processorNanos() {
     return processorNanos;
   }
--- a/coordination/src/main/java/org/lockdale/coordination/simulation/VirtualTime.java
+++ b/coordination/src/main/java/org/lockdale/coordination/simulation/VirtualTime.java
@@ -6,11 +6,13 @@
 import org.lockdale.coordination.time.Time;
 
 /**
- * A clock that moves only from one scheduled event to the next, in an order that a seed repeats.
+ * A virtual clock that advances from one scheduled event to the next. Events run in the order of
+ * their times, and those of the same time in the order in which they were scheduled, so that a
+ * simulation with the same seed runs identically.
  */
 public final class VirtualTime implements Time {
 
-  /** Wall clock time at the start of every simulation; any fixed time would do. */
+  /** Wall clock time at the start of a simulation, an arbitrary constant. */
   private static final long WALL_START_MILLIS =
       Instant.parse("2026-01-01T00:00:00Z").toEpochMilli();
 
@@ -43,7 +45,11 @@
     scheduled++;
   }
 
-  /** Runs all events up to a time in microseconds since the start, and stands there. */
+  /**
+   * Runs all events up to a time and sets the clock to it.
+   *
+   * @param micros time in microseconds since the start
+   */
   public void runUntil(long micros) {
     while (!events.isEmpty() && events.peek().atMicros() <= micros) {
       Event event = events.poll();
@@ -53,7 +59,7 @@
     nowMicros = micros;
   }
 
-  /** Runs all events of a span of milliseconds from now. */
+  /** Runs all events of the next {@code millis} milliseconds. */
   public void runMillis(long millis) {
     runUntil(nowMicros + millis * 1_000);
   }
--- a/coordination/src/main/java/org/lockdale/coordination/simulation/package-info.java
+++ b/coordination/src/main/java/org/lockdale/coordination/simulation/package-info.java
@@ -1,4 +1,4 @@
-/** A deterministic network and clock that run many nodes in one process. */
+/** A deterministic simulation of a network and a clock that runs many nodes in one process. */
 @NullMarked
 package org.lockdale.coordination.simulation;
 
--- a/coordination/src/test/java/org/lockdale/coordination/node/ClusterTest.java
+++ b/coordination/src/test/java/org/lockdale/coordination/node/ClusterTest.java
@@ -21,22 +21,22 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Membership and the spread of configuration under failures, on a virtual clock. */
+/** Tests membership and dissemination of configuration under failures, on a virtual clock. */
 public final class ClusterTest implements SimulatedCluster.Observer {
 
   private static final int ZONES = 3;
   private static final int NODES = 18;
 
-  /** Seeds of each test; more by -Dlockdale.cluster.seeds=N. */
+  /** Number of seeds per test; set by -Dlockdale.cluster.seeds=N. */
   private static final int SEEDS = Integer.getInteger("lockdale.cluster.seeds", 25);
 
-  private static final long BOUND_MILLIS = 120_000;
-  private static final long IN_FORCE_MILLIS = 4_000;
+  private static final long CONVERGENCE_BOUND_MILLIS = 120_000;
+  private static final long PROPAGATION_BOUND_MILLIS = 4_000;
 
   private SimulatedCluster cluster;
   private int deaths;
-  private final Map<String, Long> highest = new HashMap<>();
-  private boolean wentBack;
+  private final Map<String, Long> highestVersionByNode = new HashMap<>();
+  private boolean versionWentBack;
 
   /** Seeds of all simulations. */
   @DataProvider
@@ -50,8 +50,8 @@
 
   private void start(long seed) {
     deaths = 0;
-    highest.clear();
-    wentBack = false;
+    highestVersionByNode.clear();
+    versionWentBack = false;
     Map<String, String> regions = new HashMap<>();
     for (int zone = 0; zone < ZONES; zone++) {
       regions.put("zone-" + zone, "region");
@@ -65,7 +65,7 @@
 
   private void startAndConverge(long seed) {
     start(seed);
-    assertNotEquals(cluster.runUntilConverged(BOUND_MILLIS), -1L, "seed " + seed);
+    assertNotEquals(cluster.runUntilConverged(CONVERGENCE_BOUND_MILLIS), -1L, "seed " + seed);
     deaths = 0;
   }
 
@@ -85,32 +85,32 @@
     return nodes.stream().mapToLong(node -> node.configuration().version()).min().orElse(-1);
   }
 
-  /** Nodes that start together find each other, whichever of them are the seeds. */
+  /** Nodes that start at the same time discover each other. */
   @Test(dataProvider = "seeds")
   public void nodesThatStartTogetherFindEachOther(long seed) {
     start(seed);
-    assertNotEquals(cluster.runUntilConverged(BOUND_MILLIS), -1L, "seed " + seed);
+    assertNotEquals(cluster.runUntilConverged(CONVERGENCE_BOUND_MILLIS), -1L, "seed " + seed);
   }
 
-  /** All nodes restarting at once, with everything forgotten, find each other again. */
+  /** Nodes that all restart at the same time without their former state discover each other. */
   @Test(dataProvider = "seeds")
-  public void aHerdOfRestartsFindsItself(long seed) {
+  public void nodesThatRestartTogetherFindEachOther(long seed) {
     startAndConverge(seed);
     cluster.nodes().forEach(SimulatedNode::kill);
     cluster.nodes().forEach(cluster::restart);
-    assertNotEquals(cluster.runUntilConverged(BOUND_MILLIS), -1L, "seed " + seed);
+    assertNotEquals(cluster.runUntilConverged(CONVERGENCE_BOUND_MILLIS), -1L, "seed " + seed);
   }
 
-  /** One message in a hundred lost makes no running node look dead. */
+  /** A message loss of 1% does not cause a running node to be declared dead. */
   @Test(dataProvider = "seeds")
-  public void lossAloneKillsNobody(long seed) {
+  public void messageLossCausesNoDeath(long seed) {
     startAndConverge(seed);
     cluster.links().setLossPerMille(10);
     cluster.time().runMillis(120_000);
     assertEquals(deaths, 0, "seed " + seed);
   }
 
-  /** A dead node becomes known as dead to all others. */
+  /** All other nodes learn of the death of a node. */
   @Test(dataProvider = "seeds")
   public void aDeathBecomesKnown(long seed) {
     startAndConverge(seed);
@@ -119,78 +119,78 @@
     cluster.time().runMillis(20_000);
     for (SimulatedNode node : cluster.nodes()) {
       if (node != victim) {
-        Member belief = node.coordination().membership().find(victim.id()).orElseThrow();
-        assertEquals(belief.status(), MemberStatus.DEAD, "seed " + seed + " at " + node.id());
+        Member known = node.coordination().membership().find(victim.id()).orElseThrow();
+        assertEquals(known.status(), MemberStatus.DEAD, "seed " + seed + " at " + node.id());
       }
     }
   }
 
-  /** A node that was paused until it was taken for dead comes back, and accuses nobody. */
+  /** A node that was declared dead during a pause rejoins, and declares no other node dead. */
   @Test(dataProvider = "seeds")
-  public void aPausedNodeComesBackWithoutAccusations(long seed) {
+  public void aPausedNodeRejoinsAndDeclaresNobodyDead(long seed) {
     startAndConverge(seed);
-    SimulatedNode sleeper = cluster.nodes().get(4);
-    sleeper.pause();
+    SimulatedNode pausedNode = cluster.nodes().get(4);
+    pausedNode.pause();
     cluster.time().runMillis(30_000);
     deaths = 0;
-    sleeper.resume();
-    assertNotEquals(cluster.runUntilConverged(BOUND_MILLIS), -1L, "seed " + seed);
+    pausedNode.resume();
+    assertNotEquals(cluster.runUntilConverged(CONVERGENCE_BOUND_MILLIS), -1L, "seed " + seed);
     assertEquals(deaths, 0, "seed " + seed);
   }
 
-  /** A way that is cut in one direction only kills nobody, since others relay the probes. */
+  /** A one-way partition causes no node to be declared dead, since other nodes relay the probes. */
   @Test(dataProvider = "seeds")
-  public void aOneWayCutKillsNobody(long seed) {
+  public void aOneWayPartitionCausesNoDeath(long seed) {
     startAndConverge(seed);
-    cluster.links().cutOneWay("zone-0", "zone-1");
+    cluster.links().partitionOneWay("zone-0", "zone-1");
     cluster.time().runMillis(60_000);
     assertEquals(deaths, 0, "seed " + seed);
   }
 
-  /** A zone that was cut off is known again after healing and catches up on configuration. */
+  /** A zone rejoins after a network partition and receives the configuration changes it missed. */
   @Test(dataProvider = "seeds")
   public void aHealedZoneCatchesUp(long seed) {
     startAndConverge(seed);
-    cluster.links().cutOff("zone-2");
+    cluster.links().isolateZone("zone-2");
     cluster.time().runMillis(60_000);
     cluster.accept(cluster.nodes().get(0), change(1));
     cluster.time().runMillis(10_000);
-    assertEquals(lowestVersion(inZone(2)), 0, "the cut leaks");
+    assertEquals(lowestVersion(inZone(2)), 0, "the partitioned zone received the change");
     cluster.links().heal();
-    assertNotEquals(cluster.runUntilConverged(BOUND_MILLIS), -1L, "seed " + seed);
-    cluster.time().runMillis(IN_FORCE_MILLIS);
+    assertNotEquals(cluster.runUntilConverged(CONVERGENCE_BOUND_MILLIS), -1L, "seed " + seed);
+    cluster.time().runMillis(PROPAGATION_BOUND_MILLIS);
     assertEquals(lowestVersion(cluster.nodes()), 1, "seed " + seed);
   }
 
-  /** A change is in force everywhere within the bound although messages are lost. */
+  /** A change takes effect at all nodes within the bound, even if 1% of the messages are lost. */
   @Test(dataProvider = "seeds")
   public void aChangeIsInForceEverywhereInTime(long seed) {
     startAndConverge(seed);
     cluster.links().setLossPerMille(10);
     for (long version = 1; version <= 5; version++) {
       cluster.accept(cluster.nodes().get((int) version), change(version));
-      cluster.time().runMillis(IN_FORCE_MILLIS);
+      cluster.time().runMillis(PROPAGATION_BOUND_MILLIS);
       assertEquals(lowestVersion(cluster.nodes()), version, "seed " + seed);
     }
-    assertFalse(wentBack);
+    assertFalse(versionWentBack);
   }
 
-  /** A node that leaves is known to leave, and is not taken for dead while it drains. */
+  /** All other nodes know a leaving node as leaving, and do not declare it dead while it drains. */
   @Test(dataProvider = "seeds")
   public void aLeavingNodeIsKnownToLeave(long seed) {
     startAndConverge(seed);
-    SimulatedNode leaver = cluster.nodes().get(7);
-    cluster.leave(leaver);
+    SimulatedNode leavingNode = cluster.nodes().get(7);
+    cluster.leave(leavingNode);
     cluster.time().runMillis(10_000);
     for (SimulatedNode node : cluster.nodes()) {
-      if (node != leaver) {
-        Member belief = node.coordination().membership().find(leaver.id()).orElseThrow();
-        assertEquals(belief.status(), MemberStatus.LEAVING, "seed " + seed + " at " + node.id());
+      if (node != leavingNode) {
+        Member known = node.coordination().membership().find(leavingNode.id()).orElseThrow();
+        assertEquals(known.status(), MemberStatus.LEAVING, "seed " + seed + " at " + node.id());
       }
     }
   }
 
-  /** Nearly always one node of a zone polls the table service, and never none. */
+  /** Exactly one node of each zone polls the table service in a converged cluster. */
   @Test(dataProvider = "seeds")
   public void everyZoneHasOnePoller(long seed) {
     startAndConverge(seed);
@@ -211,7 +211,7 @@
 
   @Override
   public void configurationChanged(SimulatedNode node, long version) {
-    wentBack |= version < highest.getOrDefault(node.id(), 0L);
-    highest.put(node.id(), version);
+    versionWentBack |= version < highestVersionByNode.getOrDefault(node.id(), 0L);
+    highestVersionByNode.put(node.id(), version);
   }
 }
