--- a/coordination/src/main/java/org/lockdale/coordination/lease/LeaseStore.java
+++ b/coordination/src/main/java/org/lockdale/coordination/lease/LeaseStore.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Port of the store that holds a lease's row. Every future fails with a {@link
- * org.lockdale.coordination.table.TableServiceException}.
+ * Access to the store that holds the row of a lease. The future of a failed call completes with a
+ * {@link org.lockdale.coordination.table.TableServiceException}.
  */
 public interface LeaseStore {
 
@@ -12,12 +12,14 @@
   CompletableFuture<LeaseReading> read();
 
   /**
-   * Writes the row if it still has a version.
+   * Writes the row if it has the expected version.
    *
    * @param row new contents
-   * @param expectedVersion version it must have; 0 for none
+   * @param expectedVersion packed version that the row must have; its number is 0 if there must be
+   *     no row
    * @return the row as written; fails with {@link
-   *     org.lockdale.coordination.table.TableServiceException.Kind#CONDITION_FAILED} otherwise
+   *     org.lockdale.coordination.table.TableServiceException.Kind#CONDITION_FAILED} if the row has
+   *     another version
    */
   CompletableFuture<LeaseReading> write(LeaseRow row, long expectedVersion);
 }
--- a/coordination/src/test/java/org/lockdale/coordination/lease/LeaseTest.java
+++ b/coordination/src/test/java/org/lockdale/coordination/lease/LeaseTest.java
@@ -13,8 +13,8 @@
 import org.testng.annotations.Test;
 
 /**
- * The invariant of leases under delayed calls, lost answers, late effects and paused nodes: actions
- * of two nodes are never closer than the guard time, and fencing tokens never go back.
+ * Tests the invariant of leases under delayed calls, lost replies, late effects and paused nodes:
+ * actions of two nodes are separated by at least the guard time, and fencing tokens never decrease.
  */
 public final class LeaseTest {
 
@@ -28,7 +28,9 @@
 
   private record Action(int node, long atMillis, long fence) {}
 
-  /** A store, nodes whose clocks have offsets, and calls that take and lose their time. */
+  /**
+   * A store and nodes with clock offsets and pauses, whose calls are delayed and may lose replies.
+   */
   private static final class Simulation {
     private final Random random;
     private final long guard;
@@ -45,8 +47,8 @@
     private LeaseRow row;
     private long version;
     private final List<LeaseReading> copies = new ArrayList<>();
-    private final long[] eraSeen = new long[NODES];
-    private final long[] eraSeenAt = new long[NODES];
+    private final long[] knownEra = new long[NODES];
+    private final long[] knownEraSince = new long[NODES];
     private long era;
     private long now;
     private long order;
@@ -57,8 +59,8 @@
       for (int node = 0; node < NODES; node++) {
         leases[node] = new Lease("node-" + node, DURATION, guard);
         clockOffset[node] = random.nextInt(1_000_000);
-        int started = node;
-        at(random.nextInt(500), () -> tick(started));
+        int startingNode = node;
+        at(random.nextInt(500), () -> tick(startingNode));
       }
     }
 
@@ -66,22 +68,22 @@
       events.add(new Event(millis, order++, action));
     }
 
-    /** Another writer spoils the row from time to time; nobody can read it then. */
-    Simulation spoiling() {
-      at(3_000, this::spoil);
+    /** Adds a writer that repeatedly replaces the row by contents that can't be read. */
+    Simulation withUnreadableRows() {
+      at(3_000, this::makeRowUnreadable);
       return this;
     }
 
-    private void spoil() {
+    private void makeRowUnreadable() {
       row = null;
       version++;
-      at(now + 6_000 + random.nextInt(6_000), this::spoil);
+      at(now + 6_000 + random.nextInt(6_000), this::makeRowUnreadable);
     }
 
-    /** The store comes back from copies of one to ten seconds before, also twice in a row. */
-    Simulation comingBackFromCopies() {
+    /** Adds restores of the store from copies one to ten seconds old, some in quick succession. */
+    Simulation withRestores() {
       at(500, this::copy);
-      at(5_000, this::comeBack);
+      at(5_000, this::restore);
       return this;
     }
 
@@ -90,27 +92,27 @@
       at(now + 500, this::copy);
     }
 
-    private void comeBack() {
+    private void restore() {
       LeaseReading copy = copies.get(Math.max(0, copies.size() - 2 - random.nextInt(18)));
       row = copy.row();
       version = copy.version();
       era++;
       copies.clear();
       copy();
-      at(now + (random.nextInt(3) == 0 ? 800 : 8_000 + random.nextInt(8_000)), this::comeBack);
+      at(now + (random.nextInt(3) == 0 ? 800 : 8_000 + random.nextInt(8_000)), this::restore);
     }
 
     private long historyAge(int node) {
-      return eraSeen[node] == 0 ? Long.MAX_VALUE : now - eraSeenAt[node];
+      return knownEra[node] == 0 ? Long.MAX_VALUE : now - knownEraSince[node];
     }
 
-    /** Returns whether an answer is taken; one of a former history that comes late is not. */
-    private boolean takes(int node, long answered) {
-      if (answered > eraSeen[node]) {
-        eraSeen[node] = answered;
-        eraSeenAt[node] = now;
+    /** Returns whether a reply is processed; late replies of an earlier era are ignored. */
+    private boolean acceptsEra(int node, long replyEra) {
+      if (replyEra > knownEra[node]) {
+        knownEra[node] = replyEra;
+        knownEraSince[node] = now;
       }
-      return answered == eraSeen[node];
+      return replyEra == knownEra[node];
     }
 
     List<Action> run() {
@@ -130,7 +132,7 @@
       return random.nextInt(20) == 0 ? random.nextInt(4_000) : random.nextInt(30);
     }
 
-    /** Runs on a node now, or once it is no longer paused. */
+    /** Runs an action on a node now, or after its pause. */
     private void onNode(int node, Runnable action) {
       if (pausedUntil[node] > now) {
         at(pausedUntil[node], () -> onNode(node, action));
@@ -155,12 +157,12 @@
     }
 
     private void read(int node) {
-      long asked = localTime(node);
+      long requestedAt = localTime(node);
       at(
           now + delay(),
           () -> {
             LeaseReading reading = reading();
-            at(now + delay(), () -> onNode(node, () -> readDone(node, reading, asked)));
+            at(now + delay(), () -> onNode(node, () -> readDone(node, reading, requestedAt)));
           });
     }
 
@@ -168,49 +170,48 @@
       return new LeaseReading(row, new StoreVersion(era, version).packed(), now);
     }
 
-    private LeaseReading asReadBy(int node, LeaseReading answer) {
-      return new LeaseReading(
-          answer.row(), answer.version(), answer.storeMillis(), historyAge(node));
+    private LeaseReading asReadBy(int node, LeaseReading reply) {
+      return new LeaseReading(reply.row(), reply.version(), reply.storeMillis(), historyAge(node));
     }
 
-    private void readDone(int node, LeaseReading answer, long asked) {
-      if (!takes(node, StoreVersion.ofPacked(answer.version()).era())) {
+    private void readDone(int node, LeaseReading reply, long requestedAt) {
+      if (!acceptsEra(node, StoreVersion.ofPacked(reply.version()).era())) {
         return;
       }
-      LeaseReading reading = asReadBy(node, answer);
-      leases[node].observed(reading, asked);
+      LeaseReading reading = asReadBy(node, reply);
+      leases[node].observed(reading, requestedAt);
       Optional<LeaseRow> claim = leases[node].claim();
       if (claim.isEmpty()) {
         return;
       }
-      long writeAsked = localTime(node);
-      boolean answerLost = random.nextInt(10) == 0;
+      long writeRequestedAt = localTime(node);
+      boolean replyLost = random.nextInt(10) == 0;
       at(
           now + delay(),
           () -> {
-            // The store compares numbers, which are given out again in a later era.
+            // The store compares only numbers, which it assigns again in a later era.
             StoreVersion expected = StoreVersion.ofPacked(reading.version());
             if (version == expected.number()) {
               row = claim.get();
               version++;
               LeaseReading written = reading();
               boolean sameEra = era == expected.era();
-              if (!answerLost) {
+              if (!replyLost) {
                 at(
                     now + delay(),
-                    () -> onNode(node, () -> writeDone(node, written, sameEra, writeAsked)));
+                    () -> onNode(node, () -> writeDone(node, written, sameEra, writeRequestedAt)));
               }
             }
           });
     }
 
-    private void writeDone(int node, LeaseReading answer, boolean sameEra, long asked) {
-      if (takes(node, StoreVersion.ofPacked(answer.version()).era()) && sameEra) {
-        leases[node].written(asReadBy(node, answer), asked);
+    private void writeDone(int node, LeaseReading reply, boolean sameEra, long requestedAt) {
+      if (acceptsEra(node, StoreVersion.ofPacked(reply.version()).era()) && sameEra) {
+        leases[node].written(asReadBy(node, reply), requestedAt);
       }
     }
 
-    /** Returns the first pair of actions that breaks the invariant, or null. */
+    /** Returns a description of the first violation of the invariant, or null if there is none. */
     String violation() {
       for (int index = 1; index < actions.size(); index++) {
         Action before = actions.get(index - 1);
@@ -219,7 +220,7 @@
           return before + " and " + after;
         }
         if (after.fence() < before.fence()) {
-          return "the fence went back: " + before + " and " + after;
+          return "the fencing token decreased: " + before + " and " + after;
         }
       }
       return null;
@@ -238,7 +239,7 @@
   }
 
   @Test
-  public void withoutTheGuardThereIsACounterexample() {
+  public void withoutTheGuardTheInvariantIsViolated() {
     boolean found = false;
     for (long seed = 0; seed < SEEDS && !found; seed++) {
       Simulation simulation = new Simulation(seed, 0);
@@ -260,8 +261,9 @@
   }
 
   /**
-   * A row that nobody could read failed each reading, so the lease was never taken over. It is free
-   * a term and the guard after it was first read, for whoever held it before.
+   * Guards against an unreadable row that makes each reading fail, so that the lease is never taken
+   * over. Any earlier hold has ended one term after the row was first read, so the lease is free
+   * after this term and the guard time.
    */
   @Test
   public void aRowThatCannotBeReadIsTakenOverAfterTheLongestHold() {
@@ -278,7 +280,7 @@
   }
 
   @Test
-  public void aHolderWhoseRowIsSpoiltCeases() {
+  public void aHolderStopsWhenItsRowBecomesUnreadable() {
     Lease lease = new Lease("a", DURATION, GUARD);
     lease.written(new LeaseReading(new LeaseRow("a", 10_000), 7, 9_000), 0);
     assertTrue(lease.mayAct(100));
@@ -289,7 +291,7 @@
   @Test
   public void rowsThatAreSpoiltLetNoTwoHoldersActAndStopNobodyForEver() {
     for (long seed = 0; seed < SEEDS; seed++) {
-      Simulation simulation = new Simulation(seed, GUARD).spoiling();
+      Simulation simulation = new Simulation(seed, GUARD).withUnreadableRows();
       List<Action> actions = simulation.run();
       assertEquals(simulation.violation(), null, "seed " + seed);
       long last = actions.get(actions.size() - 1).atMillis();
@@ -298,14 +300,15 @@
   }
 
   /**
-   * A store that came back from an older copy gives versions out again: with these alone a lease
-   * that had been read at version 100 was taken by nobody until the store had passed 100 again.
+   * A store that is restored from an older copy assigns versions again. If only these were
+   * compared, a lease that was read at version 100 would not be taken by any node until the store
+   * reached 100 again.
    */
   @Test
   public void aStoreThatComesBackFromCopiesLetsNoTwoHoldersActAndFencesOnlyRise() {
     int acted = 0;
     for (long seed = 0; seed < SEEDS; seed++) {
-      Simulation simulation = new Simulation(seed, GUARD).comingBackFromCopies();
+      Simulation simulation = new Simulation(seed, GUARD).withRestores();
       acted += simulation.run().size();
       assertEquals(simulation.violation(), null, "seed " + seed);
     }
@@ -313,7 +316,7 @@
   }
 
   @Test
-  public void aRowThatIsGoneWithItsHistoryIsTakenOnceFormerHoldsHaveEnded() {
+  public void aRowLostInARestoreIsTakenAfterFormerHoldsHaveEnded() {
     Lease lease = new Lease("b", DURATION, GUARD);
     lease.observed(new LeaseReading(new LeaseRow("a", 10_000), 100, 9_000), 0);
     long none = new StoreVersion(1, 0).packed();
