--- a/coordination/src/main/java/org/lockdale/coordination/claim/HeldClaim.java
+++ b/coordination/src/main/java/org/lockdale/coordination/claim/HeldClaim.java
@@ -7,7 +7,7 @@
  *
  * @param key row key
  * @param record contents of the row
- * @param rowVersion version of the row; a later writer with another version is refused, which makes
- *     it the fencing token
+ * @param rowVersion version of the row; serves as fencing token, as writes that expect another
+ *     version are rejected
  */
 public record HeldClaim(String key, ClaimRecord record, long rowVersion) {}
--- a/coordination/src/main/java/org/lockdale/coordination/claim/RunOnceClaims.java
+++ b/coordination/src/main/java/org/lockdale/coordination/claim/RunOnceClaims.java
@@ -13,12 +13,13 @@
 import org.lockdale.protocol.generated.ClaimState;
 
 /**
- * Claims in the table service that let at most one attempt of a request run.
+ * Claims in the table service which ensure that at most one attempt of a request runs.
  *
- * <p>The row of an idempotency key is created before the attempt is dispatched, by a conditional
- * write; whoever fails to create it must not dispatch. A row returns to another attempt only from
- * {@link ClaimState#NOT_RUN}, which is written only when the attempt can no longer run. Time plays
- * no part, so a paused holder that wakes up breaks nothing. Safe for use by several threads.
+ * <p>The row of an idempotency key is created with a conditional write before the attempt is
+ * dispatched; an attempt whose claim failed must not be dispatched. Another attempt can take over a
+ * row only in the state {@link ClaimState#NOT_RUN}, which is written only if the previous attempt
+ * can no longer run. Claims do not expire, so a holder that resumes after a pause can't violate
+ * this. Safe for use by several threads.
  */
 public final class RunOnceClaims {
 
@@ -31,7 +32,7 @@
   private final Time time;
   private final MessageCodec<ClaimRecord> codec = MessageCodec.claims();
 
-  /** Creates claims kept in a table service. */
+  /** Creates claims that are stored in a table service. */
   public RunOnceClaims(TableService tables, Time time) {
     this.tables = tables;
     this.time = time;
@@ -41,16 +42,16 @@
    * Tries to take the claim of a key.
    *
    * @param key row key, unique for tenant and idempotency key
-   * @param attempt names the attempt, its node and its engine; its state is {@code CLAIMED}
-   * @return the decision; fails with {@link TableServiceException} where the service gave no
-   *     answer, in which case the attempt must not be dispatched and {@link #abandon} must follow
+   * @param attempt the attempt with its node and engine, in the state {@code CLAIMED}
+   * @return the decision; fails with {@link TableServiceException} if a call to the service failed;
+   *     the attempt must not be dispatched then, and {@link #abandon} must be called
    */
   public CompletableFuture<ClaimDecision> claim(String key, ClaimRecord attempt) {
     return create(key, attempt, MAX_WRITE_ATTEMPTS)
         .handle(
             (row, failure) -> {
               if (failure == null) {
-                return decided(
+                return completed(
                     new ClaimDecision.Granted(new HeldClaim(key, attempt, row.version())));
               }
               if (kindOf(failure) == TableServiceException.Kind.CONDITION_FAILED) {
@@ -61,11 +62,14 @@
         .thenCompose(decision -> decision);
   }
 
-  private static CompletableFuture<ClaimDecision> decided(ClaimDecision decision) {
+  private static CompletableFuture<ClaimDecision> completed(ClaimDecision decision) {
     return CompletableFuture.completedFuture(decision);
   }
 
-  /** Creates the row, again where the reply was lost: the attempt id tells whose row it is. */
+  /**
+   * Creates the row, and retries if the outcome is unknown. If an earlier try took effect, the
+   * attempt id identifies the row as that of this attempt.
+   */
   private CompletableFuture<TableRow> create(String key, ClaimRecord record, int attemptsLeft) {
     return tables
         .create(TABLE, key, codec.encode(record))
@@ -91,16 +95,16 @@
               ClaimRecord record = existing.record();
               if (record.getAttemptId().equals(attempt.getAttemptId())
                   && record.getState() == ClaimState.CLAIMED) {
-                return decided(new ClaimDecision.Granted(existing));
+                return completed(new ClaimDecision.Granted(existing));
               }
               if (record.getRequestFingerprint() != attempt.getRequestFingerprint()) {
-                return decided(new ClaimDecision.KeyReused());
+                return completed(new ClaimDecision.KeyReused());
               }
               return switch (record.getState()) {
-                case COMPLETE -> decided(new ClaimDecision.AlreadyComplete(record));
-                case UNKNOWN -> decided(new ClaimDecision.OutcomeLost(record));
+                case COMPLETE -> completed(new ClaimDecision.AlreadyComplete(record));
+                case UNKNOWN -> completed(new ClaimDecision.OutcomeLost(record));
                 case CLAIMED ->
-                    decided(new ClaimDecision.HeldByOther(record, existing.rowVersion()));
+                    completed(new ClaimDecision.HeldByOther(record, existing.rowVersion()));
                 case NOT_RUN -> takeOver(existing, attempt);
               };
             });
@@ -109,7 +113,7 @@
   /**
    * Reads the claim of a key.
    *
-   * @return the claim, or empty where the key was never used
+   * @return the claim, or empty if the key was never used
    */
   public CompletableFuture<Optional<HeldClaim>> read(String key) {
     return tables
@@ -124,7 +128,7 @@
         .handle(
             (claim, failure) -> {
               if (failure == null) {
-                return decided(new ClaimDecision.Granted(claim));
+                return completed(new ClaimDecision.Granted(claim));
               }
               if (kindOf(failure) == TableServiceException.Kind.CONDITION_FAILED
                   || kindOf(failure) == TableServiceException.Kind.OUTCOME_UNKNOWN) {
@@ -142,15 +146,16 @@
   }
 
   /**
-   * Stores the answer of an attempt that ran, for repeats of the request.
+   * Stores the response of an attempt that ran, to be returned when the request is repeated.
    *
-   * @param status HTTP status of the answer
-   * @param contentType media type of the answer
-   * @param body the answer
+   * @param claim the claim that the attempt holds
+   * @param status HTTP status of the response
+   * @param contentType media type of the response
+   * @param body body of the response
    */
   public CompletableFuture<HeldClaim> complete(
       HeldClaim claim, int status, String contentType, byte[] body) {
-    ClaimRecord record = ended(claim.record(), ClaimState.COMPLETE);
+    ClaimRecord record = withState(claim.record(), ClaimState.COMPLETE);
     record.setAnswerStatus(status);
     record.setAnswerContentType(contentType);
     record.setAnswerBody(ByteBuffer.wrap(body));
@@ -158,50 +163,50 @@
   }
 
   /**
-   * Moves a held claim to another attempt of the same request, after the first one was refused by
-   * its engine. The row must name the engine before the attempt is sent there, or others would ask
-   * the wrong engine for its fate.
+   * Transfers a held claim to another attempt of the same request, after the engine rejected the
+   * first one. The row must name the engine before the attempt is sent to it, as other nodes would
+   * otherwise query the wrong engine for the state of the attempt.
    */
   public CompletableFuture<HeldClaim> move(HeldClaim claim, ClaimRecord attempt) {
     return replace(claim, attempt);
   }
 
-  /** Gives the claim back: the attempt did not run and can no longer run. */
+  /** Releases the claim of an attempt that did not run and can no longer run. */
   public CompletableFuture<HeldClaim> release(HeldClaim claim) {
-    return replace(claim, ended(claim.record(), ClaimState.NOT_RUN));
+    return replace(claim, withState(claim.record(), ClaimState.NOT_RUN));
   }
 
-  /** Records that the attempt may have run and that its answer is lost. */
+  /** Records that the attempt may have run and that its response is lost. */
   public CompletableFuture<HeldClaim> markUnknown(HeldClaim claim) {
-    return replace(claim, ended(claim.record(), ClaimState.UNKNOWN));
+    return replace(claim, withState(claim.record(), ClaimState.UNKNOWN));
   }
 
   /**
-   * Ends a claim whose creation may or may not have taken effect and whose attempt was never
-   * dispatched. Where the row is absent it is created as not run, so that a late write of the first
-   * creation can't hold the key for ever.
+   * Ends the claim of an attempt that was never dispatched, if it is not known whether the claim
+   * was created. If there is no row, it is created in the state {@link ClaimState#NOT_RUN};
+   * otherwise a delayed write of the claim could block the key forever.
    */
   public CompletableFuture<HeldClaim> abandon(String key, ClaimRecord attempt) {
     return read(key)
         .thenCompose(
             found -> {
-              ClaimRecord notRun = ended(attempt, ClaimState.NOT_RUN);
+              ClaimRecord notRun = withState(attempt, ClaimState.NOT_RUN);
               if (found.isEmpty()) {
                 return tables
                     .create(TABLE, key, codec.encode(notRun))
                     .thenApply(row -> new HeldClaim(key, notRun, row.version()));
               }
               HeldClaim existing = found.get();
-              boolean isOwn =
+              boolean ownedByAttempt =
                   existing.record().getAttemptId().equals(attempt.getAttemptId())
                       && existing.record().getState() == ClaimState.CLAIMED;
-              return isOwn
+              return ownedByAttempt
                   ? replace(existing, notRun)
                   : CompletableFuture.completedFuture(existing);
             });
   }
 
-  private ClaimRecord ended(ClaimRecord record, ClaimState state) {
+  private ClaimRecord withState(ClaimRecord record, ClaimState state) {
     ClaimRecord ended = record.copy();
     ended.setState(state);
     ended.setUpdatedAtMillis(time.wallMillis());
--- a/coordination/src/main/java/org/lockdale/coordination/claim/package-info.java
+++ b/coordination/src/main/java/org/lockdale/coordination/claim/package-info.java
@@ -1,4 +1,4 @@
-/** Run-once claims on idempotency keys. */
+/** Claims on idempotency keys, with which a request runs at most once. */
 @NullMarked
 package org.lockdale.coordination.claim;
 
--- a/coordination/src/main/java/org/lockdale/coordination/configuration/ConfigurationConflictException.java
+++ b/coordination/src/main/java/org/lockdale/coordination/configuration/ConfigurationConflictException.java
@@ -1,6 +1,6 @@
 package org.lockdale.coordination.configuration;
 
-/** Another edit was accepted first. */
+/** Thrown if another edit was accepted at the version that an edit was proposed for. */
 public final class ConfigurationConflictException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
@@ -24,12 +24,12 @@
     this.acceptedAuthor = acceptedAuthor;
   }
 
-  /** Returns the version that was accepted in its place. */
+  /** Returns the version of the accepted edit. */
   public long acceptedVersion() {
     return acceptedVersion;
   }
 
-  /** Returns who made the accepted edit. */
+  /** Returns the author of the accepted edit. */
   public String acceptedAuthor() {
     return acceptedAuthor;
   }
--- a/coordination/src/main/java/org/lockdale/coordination/configuration/ConfigurationHistory.java
+++ b/coordination/src/main/java/org/lockdale/coordination/configuration/ConfigurationHistory.java
@@ -14,10 +14,10 @@
 import org.lockdale.protocol.generated.ConfigurationTransfer;
 
 /**
- * The accepted configuration in the table service: one row for each change, and a snapshot now and
- * then. Creating the row of version {@code n + 1} is the one step that accepts an edit made on
- * version {@code n}, so of two racing edits exactly one is accepted and no accepted one is ever
- * overwritten. Safe for use by several threads.
+ * The accepted configuration in the table service: one row for each change, and a periodic
+ * snapshot. An edit that is based on version {@code n} is accepted by creating the row of version
+ * {@code n + 1}. As a row can be created only once, exactly one of several concurrent edits is
+ * accepted, and an accepted edit is never overwritten. Safe for use by several threads.
  */
 public final class ConfigurationHistory {
 
@@ -34,7 +34,7 @@
   private final MessageCodec<ConfigurationSnapshot> snapshotCodec =
       MessageCodec.configurationSnapshots();
 
-  /** Creates the history kept in a table service. */
+  /** Creates a history that is stored in a table service. */
   public ConfigurationHistory(TableService tables) {
     this.tables = tables;
   }
@@ -44,11 +44,11 @@
   }
 
   /**
-   * Offers an edit.
+   * Proposes an edit.
    *
-   * @param change the edit; its version is one above the version it was made on
-   * @return the accepted change; fails with {@link ConfigurationConflictException} where another
-   *     was accepted first, with {@link TableServiceException} where the service gave no answer
+   * @param change the edit; its version is one above the version on which it is based
+   * @return the accepted change; fails with {@link ConfigurationConflictException} if another edit
+   *     was accepted first, and with {@link TableServiceException} if a call to the service failed
    */
   public CompletableFuture<ConfigurationChange> propose(ConfigurationChange change) {
     return propose(change, MAX_WRITE_ATTEMPTS);
@@ -59,11 +59,11 @@
     String key = keyOf(change.getVersion());
     return tables
         .create(TABLE, key, changeCodec.encode(change))
-        .handle((row, failure) -> settle(change, failure, attemptsLeft))
-        .thenCompose(settled -> settled);
+        .handle((row, failure) -> handleCreateResult(change, failure, attemptsLeft))
+        .thenCompose(result -> result);
   }
 
-  private CompletableFuture<ConfigurationChange> settle(
+  private CompletableFuture<ConfigurationChange> handleCreateResult(
       ConfigurationChange change, Throwable failure, int attemptsLeft) {
     if (failure == null) {
       return CompletableFuture.completedFuture(change);
@@ -74,7 +74,8 @@
     }
     boolean mayHaveTakenEffect = cause.kind() == TableServiceException.Kind.OUTCOME_UNKNOWN;
     if (mayHaveTakenEffect && attemptsLeft > 1) {
-      // Creating the same row again is safe: if the first took effect, its change id tells.
+      // Creating the row again is safe: if the first call took effect, the row has this change's
+      // id.
       return propose(change, attemptsLeft - 1);
     }
     return CompletableFuture.failedFuture(cause);
@@ -100,9 +101,10 @@
   }
 
   /**
-   * Reads what was accepted after a version.
+   * Reads changes that were accepted after a version; one call returns a limited number of them.
    *
-   * @return the changes, preceded by the snapshot where the reader starts from nothing
+   * @param version the last version that the reader has; 0 for none
+   * @return the changes, with the snapshot (if there is one) if {@code version} is 0
    */
   public CompletableFuture<ConfigurationTransfer> readAfter(long version) {
     if (version > 0) {
@@ -144,21 +146,22 @@
       return CompletableFuture.failedFuture(asTableFailure(failure));
     }
     if (failure != null || found.isEmpty()) {
-      // What was read so far counts: a reader far behind a flaky service would else never catch up.
+      // Keeps a partial result: otherwise a reader that is far behind would never catch up while
+      // calls to the service fail now and then.
       return CompletableFuture.completedFuture(collected);
     }
     collected.add(found.get());
     return readChanges(after + 1, collected);
   }
 
-  /** Returns whether a snapshot should be written at a version. */
+  /** Returns whether a snapshot is to be written at a version. */
   public static boolean wantsSnapshot(long version) {
     return version % SNAPSHOT_INTERVAL == 0;
   }
 
   /**
-   * Writes a snapshot unless a newer one is there, so that a node that starts from nothing need not
-   * read every change ever made.
+   * Writes a snapshot unless one of the same or a newer version is stored, so that a starting node
+   * need not read all changes.
    */
   public CompletableFuture<Void> writeSnapshot(ConfigurationState state) {
     byte[] value = snapshotCodec.encode(state.toSnapshot());
--- a/coordination/src/main/java/org/lockdale/coordination/configuration/ConfigurationReplica.java
+++ b/coordination/src/main/java/org/lockdale/coordination/configuration/ConfigurationReplica.java
@@ -8,32 +8,35 @@
 import org.lockdale.protocol.generated.ConfigurationTransfer;
 
 /**
- * One node's copy of the configuration. Its version only rises, whatever arrives in whatever order:
- * a change is applied only right after its predecessor, a snapshot only if it is newer. Not safe
- * for use by several threads.
+ * The configuration at one node. Its version never decreases, regardless of the order in which
+ * transfers arrive: a change is applied only to the version directly before it, and a snapshot only
+ * if it is newer. Not safe for use by several threads.
  */
 public final class ConfigurationReplica {
 
-  /** Changes kept to bring others up to date without a snapshot: about four hours at peak rate. */
+  /**
+   * Number of changes kept to update other nodes without a snapshot; covers about four hours at the
+   * peak rate of edits.
+   */
   private static final int MAX_RECENT_CHANGES = 512;
 
   private final Deque<ConfigurationChange> recent = new ArrayDeque<>();
   private ConfigurationState state = ConfigurationState.EMPTY;
 
-  /** Returns the state in force. */
+  /** Returns the current state. */
   public ConfigurationState state() {
     return state;
   }
 
-  /** Returns the version in force. */
+  /** Returns the current version. */
   public long version() {
     return state.version();
   }
 
   /**
-   * Applies what is new of a transfer.
+   * Applies the parts of a transfer that are newer than the current version.
    *
-   * @return whether the version rose
+   * @return whether the version increased
    */
   public boolean apply(ConfigurationTransfer transfer) {
     long before = state.version();
@@ -44,13 +47,13 @@
     for (ConfigurationChange change : transfer.getChanges()) {
       if (change.getVersion() == state.version() + 1) {
         state = state.apply(change);
-        remember(change);
+        addRecent(change);
       }
     }
     return state.version() > before;
   }
 
-  private void remember(ConfigurationChange change) {
+  private void addRecent(ConfigurationChange change) {
     recent.addLast(change);
     if (recent.size() > MAX_RECENT_CHANGES) {
       recent.removeFirst();
@@ -58,15 +61,15 @@
   }
 
   /**
-   * Returns what a node at a version lacks: changes where they are still known, else a snapshot.
+   * Returns what a node at a version is missing: the later changes if all of them are kept,
+   * otherwise a snapshot.
    */
   public ConfigurationTransfer transferAfter(long version) {
     if (version >= state.version()) {
       return new ConfigurationTransfer(null, List.of());
     }
-    boolean historyReachesBack =
-        !recent.isEmpty() && recent.peekFirst().getVersion() <= version + 1;
-    if (!historyReachesBack) {
+    boolean coveredByRecent = !recent.isEmpty() && recent.peekFirst().getVersion() <= version + 1;
+    if (!coveredByRecent) {
       return new ConfigurationTransfer(state.toSnapshot(), List.of());
     }
     List<ConfigurationChange> changes = new ArrayList<>();
--- a/coordination/src/main/java/org/lockdale/coordination/configuration/ConfigurationState.java
+++ b/coordination/src/main/java/org/lockdale/coordination/configuration/ConfigurationState.java
@@ -11,10 +11,10 @@
 import org.lockdale.protocol.generated.ResourceRecord;
 
 /**
- * All resources at one version; immutable.
+ * All resources at one version. Immutable.
  *
- * @param version number of the last change that is part of it; 0 before the first
- * @param resources JSON documents by identity
+ * @param version version of the last change that is included; 0 before the first change
+ * @param resources JSON documents by resource
  */
 public record ConfigurationState(long version, SortedMap<ResourceKey, byte[]> resources) {
 
@@ -22,7 +22,7 @@
   public static final ConfigurationState EMPTY =
       new ConfigurationState(0, Collections.emptySortedMap());
 
-  /** Returns the state of a snapshot. */
+  /** Returns the state that a snapshot contains. */
   public static ConfigurationState of(ConfigurationSnapshot snapshot) {
     return new ConfigurationState(snapshot.getVersion(), merge(EMPTY, snapshot.getResources()));
   }
@@ -30,7 +30,7 @@
   /**
    * Returns the state after a change.
    *
-   * @throws IllegalArgumentException if the change is not the one after this version
+   * @throws IllegalArgumentException if the version of the change is not the next one
    */
   public ConfigurationState apply(ConfigurationChange change) {
     if (change.getVersion() != version + 1) {
@@ -68,7 +68,7 @@
     return new ConfigurationSnapshot(version, records);
   }
 
-  /** Returns the record that sets a resource, or deletes it where the document is empty. */
+  /** Returns a record that sets a resource, or deletes it if the document is empty. */
   public static ResourceRecord recordOf(ResourceKey key, byte[] document) {
     return new ResourceRecord(key.kind(), key.name(), ByteBuffer.wrap(document));
   }
--- a/coordination/src/main/java/org/lockdale/coordination/configuration/package-info.java
+++ b/coordination/src/main/java/org/lockdale/coordination/configuration/package-info.java
@@ -1,4 +1,4 @@
-/** The versioned configuration: replicas at the nodes and the history in the table service. */
+/** The versioned configuration: a replica at each node and the history in the table service. */
 @NullMarked
 package org.lockdale.coordination.configuration;
 
--- a/coordination/src/test/java/org/lockdale/coordination/claim/RunOnceClaimsTest.java
+++ b/coordination/src/test/java/org/lockdale/coordination/claim/RunOnceClaimsTest.java
@@ -21,8 +21,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Contenders for one key on a table service with lost replies and late effects, whose nodes die at
- * any moment: at most one attempt runs, and no attempt runs that was given up.
+ * Tests that of several attempts with the same key at most one runs, and that no attempt which was
+ * reported as not run does. Replies of the table service are lost, its writes take effect late, and
+ * nodes crash before or after the run.
  */
 public final class RunOnceClaimsTest {
 
@@ -33,20 +34,20 @@
   private static final long SPREAD_MICROS = 4_000_000;
   private static final String KEY = "key";
 
-  /** One run of contenders. */
+  /** A simulation of several contenders for one key. */
   private static final class Contest {
     final VirtualTime time = new VirtualTime();
     final UniformRandomProvider random;
     final RunOnceClaims claims;
     final List<String> ran = new ArrayList<>();
-    final Set<String> toldNotRun = new HashSet<>();
+    final Set<String> reportedNotRun = new HashSet<>();
     int complete;
 
     Contest(long seed, boolean conditional) {
       random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
       SimulatedTables tables = new SimulatedTables(time, random);
       tables.setFaultPerMille(FAULT_PER_MILLE);
-      claims = new RunOnceClaims(conditional ? tables : new Unconditional(tables), time);
+      claims = new RunOnceClaims(conditional ? tables : new UnconditionalTables(tables), time);
     }
 
     void run() {
@@ -75,7 +76,7 @@
           .whenComplete(
               (decision, failure) -> {
                 if (failure != null) {
-                  toldNotRun.add(attempt);
+                  reportedNotRun.add(attempt);
                   retryAbandon(record);
                 } else if (decision instanceof ClaimDecision.Granted granted) {
                   useClaim(attempt, granted.claim());
@@ -96,15 +97,17 @@
               });
     }
 
-    /** The engine refuses, the node dies before or after the run, or all goes well. */
+    /**
+     * The engine rejects the attempt, the node crashes before or after the run, or all succeeds.
+     */
     void useClaim(String attempt, HeldClaim claim) {
       switch (random.nextInt(4)) {
         case 0 -> {
-          toldNotRun.add(attempt);
+          reportedNotRun.add(attempt);
           claims.release(claim);
         }
         case 1 -> {
-          // The node dies before it dispatches.
+          // The node crashes before it dispatches the attempt.
         }
         case 2 -> ran.add(attempt);
         default -> {
@@ -115,8 +118,8 @@
     }
   }
 
-  /** A table service that overwrites where it should refuse. */
-  private record Unconditional(TableService tables) implements TableService {
+  /** A faulty table service that reports every failed creation of a row as successful. */
+  private record UnconditionalTables(TableService tables) implements TableService {
     @Override
     public CompletableFuture<Optional<TableRow>> read(String table, String key) {
       return tables.read(table, key);
@@ -137,7 +140,7 @@
     }
   }
 
-  /** At most one attempt runs, and none that was told not to have run. */
+  /** At most one attempt runs, and none that was reported as not run. */
   @Test
   public void atMostOneAttemptRuns() {
     int answeredRepeats = 0;
@@ -147,7 +150,7 @@
       contest.run();
       assertTrue(contest.ran.size() <= 1, "seed " + seed + " ran " + contest.ran);
       for (String attempt : contest.ran) {
-        assertTrue(!contest.toldNotRun.contains(attempt), "seed " + seed + " " + attempt);
+        assertTrue(!contest.reportedNotRun.contains(attempt), "seed " + seed + " " + attempt);
       }
       answeredRepeats += contest.complete;
       runs += contest.ran.size();
@@ -156,19 +159,19 @@
     assertTrue(runs > SEEDS / 2, "hardly anything ran: " + runs);
   }
 
-  /** The test can fail: without the conditional write, two attempts run. */
+  /** Verifies that the simulation detects a fault: without conditional writes two attempts run. */
   @Test
   public void withoutTheConditionTwoRun() {
-    int broken = 0;
+    int violations = 0;
     for (long seed = 1; seed <= 50; seed++) {
       Contest contest = new Contest(seed, false);
       contest.run();
-      broken += contest.ran.size() > 1 ? 1 : 0;
+      violations += contest.ran.size() > 1 ? 1 : 0;
     }
-    assertTrue(broken > 0);
+    assertTrue(violations > 0);
   }
 
-  /** A key that was used for one body is refused for another. */
+  /** A key that was used with one request body is rejected with another one. */
   @Test
   public void aKeyStandsForOneBody() {
     Contest contest = new Contest(1, true);
--- a/coordination/src/test/java/org/lockdale/coordination/configuration/ConfigurationHistoryTest.java
+++ b/coordination/src/test/java/org/lockdale/coordination/configuration/ConfigurationHistoryTest.java
@@ -18,7 +18,10 @@
 import org.lockdale.protocol.generated.ResourceRecord;
 import org.testng.annotations.Test;
 
-/** Operators racing on a table service with lost replies and late effects. */
+/**
+ * Tests concurrent edits of several operators on a table service with lost replies and late
+ * effects.
+ */
 public final class ConfigurationHistoryTest {
 
   private static final int SEEDS = 300;
@@ -26,7 +29,7 @@
   private static final int EDITS_EACH = 8;
   private static final int FAULT_PER_MILLE = 100;
 
-  /** An operator that edits what it last read, again and again. */
+  /** An operator that repeatedly reads the configuration and proposes an edit of it. */
   private static final class Operator {
     final String name;
     final ConfigurationHistory history;
@@ -56,7 +59,7 @@
                   replica.apply(transfer);
                   propose();
                 } else {
-                  again();
+                  scheduleEdit();
                 }
               });
     }
@@ -78,16 +81,19 @@
                   conflicts++;
                   assertTrue(conflict.acceptedVersion() >= version);
                 }
-                again();
+                scheduleEdit();
               });
     }
 
-    void again() {
+    void scheduleEdit() {
       time.schedule(20_000, this::edit);
     }
   }
 
-  /** Each version is accepted once, the history has no gap, and everybody reads the same. */
+  /**
+   * Each version is accepted at most once, and all accepted versions are in the history, without
+   * gaps.
+   */
   @Test
   public void racingEditsAreAcceptedOneByOne() {
     int conflicts = 0;
@@ -109,7 +115,7 @@
       history.readAfter(0).thenAccept(reader::apply);
       time.runMillis(10_000);
       long newest = reader.version();
-      // An edit whose writer got no answer may stand in the history without its writer knowing.
+      // The history may also contain edits whose operator received no reply.
       for (long version : accepted.keySet()) {
         assertTrue(version <= newest, "seed " + seed + ": " + version + " after " + newest);
       }
@@ -126,7 +132,7 @@
     return new ConfigurationChange(version, "id-" + version, "test", 0L, List.of(resource));
   }
 
-  /** A replica never goes back, whatever arrives in whatever order. */
+  /** The version of a replica never decreases, regardless of the order of transfers. */
   @Test
   public void aReplicaNeverGoesBack() {
     ConfigurationReplica source = new ConfigurationReplica();
@@ -152,7 +158,7 @@
         replica.state().toSnapshot().getResources(), source.state().toSnapshot().getResources());
   }
 
-  /** A deleted resource is gone, also from snapshots. */
+  /** A deleted resource is removed from the state. */
   @Test
   public void deletionsAreKept() {
     ConfigurationReplica replica = new ConfigurationReplica();
