--- a/coordination/src/main/java/org/lockdale/coordination/blackboard/Snapshot.java
+++ b/coordination/src/main/java/org/lockdale/coordination/blackboard/Snapshot.java
@@ -1,15 +1,15 @@
 package org.lockdale.coordination.blackboard;
 
 /**
- * A value with its age.
+ * A value of a {@link Section} with its version and time.
  *
  * @param value immutable value
- * @param version number of publications before this one
- * @param trueAtMillis monotonic time at which the value was known to be true
+ * @param version number of values published before this one
+ * @param trueAtMillis monotonic time at which the value was known to be current, in milliseconds
  */
 public record Snapshot<T>(T value, long version, long trueAtMillis) {
 
-  /** Returns how old the belief is, in milliseconds. */
+  /** Returns the age of the value at a monotonic time, in milliseconds. */
   public long ageMillis(long nowMillis) {
     return nowMillis - trueAtMillis;
   }
--- a/coordination/src/main/java/org/lockdale/coordination/blackboard/package-info.java
+++ b/coordination/src/main/java/org/lockdale/coordination/blackboard/package-info.java
@@ -1,4 +1,4 @@
-/** Immutable values that one controller replaces and everyone reads without locks. */
+/** The blackboard: immutable values, each replaced by one controller and read without locks. */
 @NullMarked
 package org.lockdale.coordination.blackboard;
 
--- a/coordination/src/main/java/org/lockdale/coordination/collection/BoundedMap.java
+++ b/coordination/src/main/java/org/lockdale/coordination/collection/BoundedMap.java
@@ -3,14 +3,14 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A map that drops its oldest entry when it grows over a bound. */
+/** A map with a maximum size that evicts its oldest entry when the size is exceeded. */
 public final class BoundedMap<K, V> extends LinkedHashMap<K, V> {
 
   private static final long serialVersionUID = 1L;
 
   private final int maxEntries;
 
-  /** Creates an empty map that holds at most a number of entries. */
+  /** Creates an empty map that holds at most {@code maxEntries} entries. */
   public BoundedMap(int maxEntries) {
     this.maxEntries = maxEntries;
   }
--- a/coordination/src/main/java/org/lockdale/coordination/concurrent/Failures.java
+++ b/coordination/src/main/java/org/lockdale/coordination/concurrent/Failures.java
@@ -2,14 +2,14 @@
 
 import java.util.concurrent.CompletionException;
 
-/** Failures of futures. */
+/** Utilities for the failures of futures. */
 public final class Failures {
 
   private Failures() {}
 
   /**
-   * Returns what made a future fail: a future that depends on another one fails with the other's
-   * failure wrapped into a {@link CompletionException}.
+   * Returns the original failure of a future. A future that depends on another one fails with the
+   * failure of the other one wrapped in a {@link CompletionException}.
    */
   public static Throwable causeOf(Throwable failure) {
     Throwable cause = failure.getCause();
--- a/coordination/src/main/java/org/lockdale/coordination/concurrent/package-info.java
+++ b/coordination/src/main/java/org/lockdale/coordination/concurrent/package-info.java
@@ -1,4 +1,4 @@
-/** Helpers for futures. */
+/** Utilities for futures. */
 @NullMarked
 package org.lockdale.coordination.concurrent;
 
--- a/coordination/src/main/java/org/lockdale/coordination/placement/PrefixChain.java
+++ b/coordination/src/main/java/org/lockdale/coordination/placement/PrefixChain.java
@@ -3,13 +3,13 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Block hashes of a prompt. Hash {@code i} covers the scope and all bytes up to the end of block
- * {@code i}, so equal hashes mean equal prefixes in the same scope. The last, partial block is left
- * out, since engines cache whole blocks only.
+ * The chain of block hashes of a prompt. Hash {@code i} covers the scope and all bytes up to the
+ * end of block {@code i}, so equal hashes mean equal prefixes in the same scope. A partial block at
+ * the end is ignored, since engines cache only complete blocks.
  */
 public final class PrefixChain {
 
-  /** Bytes of prompt text in one block: 64 tokens at four bytes a token. */
+  /** Size of a block of prompt text in bytes: 64 tokens at four bytes per token. */
   public static final int BLOCK_BYTES = 256;
 
   private static final LongHashFunction HASH = LongHashFunction.xx3();
@@ -24,8 +24,9 @@
   /**
    * Hashes a prompt.
    *
-   * @param scope within which blocks may be shared; no hash of one scope equals one of another
-   * @param prompt prompt text, UTF-8
+   * @param scope scope in which blocks may be shared; the same prompt has other hashes in another
+   *     scope
+   * @param prompt prompt text in UTF-8
    */
   public static PrefixChain of(CacheScope scope, byte[] prompt) {
     int blocks = prompt.length / BLOCK_BYTES;
@@ -41,12 +42,16 @@
     return new PrefixChain(hashes);
   }
 
-  /** Returns the number of whole blocks. */
+  /** Returns the number of complete blocks. */
   public int length() {
     return hashes.length;
   }
 
-  /** Returns the hash of the prefix that ends with a block, counted from 0. */
+  /**
+   * Returns the hash of the prefix that ends with a block.
+   *
+   * @param block index of the block, from 0
+   */
   public long hashAt(int block) {
     return hashes[block];
   }
--- a/coordination/src/main/java/org/lockdale/coordination/placement/PromptText.java
+++ b/coordination/src/main/java/org/lockdale/coordination/placement/PromptText.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Joins the messages of a request into the one text that prefixes are taken from. Nodes and engines
- * must join alike, or no hash of one would mean anything to the other.
+ * Joins the messages of a request into the text whose prefixes are hashed. Nodes and engines must
+ * join them in the same way, as their hashes would not match otherwise.
  */
 public final class PromptText {
 
@@ -20,13 +20,13 @@
     return this;
   }
 
-  /** Appends text as it is, as in a plain completion. */
+  /** Appends unmodified text, such as the prompt of a plain completion. */
   public PromptText append(String text) {
     bytes.writeBytes(text.getBytes(StandardCharsets.UTF_8));
     return this;
   }
 
-  /** Returns the joined text, UTF-8. */
+  /** Returns the joined text in UTF-8. */
   public byte[] toBytes() {
     return bytes.toByteArray();
   }
--- a/coordination/src/main/java/org/lockdale/coordination/placement/Rendezvous.java
+++ b/coordination/src/main/java/org/lockdale/coordination/placement/Rendezvous.java
@@ -3,8 +3,8 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Rendezvous hashing: every node that knows the same candidates ranks them alike for a key, without
- * a message, and a candidate that goes takes only its own keys with it.
+ * Rendezvous hashing: all nodes that know the same candidates rank them identically for a key
+ * without exchanging messages, and the removal of a candidate reassigns only its own keys.
  */
 public final class Rendezvous {
 
@@ -18,14 +18,15 @@
 
   private Rendezvous() {}
 
-  /** Returns a candidate's identity hash, to be computed once and kept. */
+  /** Returns the identity hash of a candidate; callers should compute it once and cache it. */
   public static long identityOf(String candidate) {
     return HASH.hashChars(candidate);
   }
 
   /**
-   * Returns the weight of a candidate for a key; the highest unsigned weight is the first choice.
-   * The mix is the finalizer of splitmix64, which needs no memory and a few nanoseconds.
+   * Returns the weight of a candidate for a key. The candidate with the highest unsigned weight is
+   * the first choice. Uses the finalizer of splitmix64, which allocates nothing and takes a few
+   * nanoseconds.
    */
   public static long weight(long key, long candidateIdentity) {
     long mixed = key + candidateIdentity * WEYL_INCREMENT;
--- a/coordination/src/main/java/org/lockdale/coordination/placement/package-info.java
+++ b/coordination/src/main/java/org/lockdale/coordination/placement/package-info.java
@@ -1,4 +1,4 @@
-/** Block hashes of prompt prefixes and rendezvous placement. */
+/** Block hashes of prompt prefixes and rendezvous hashing. */
 @NullMarked
 package org.lockdale.coordination.placement;
 
--- a/coordination/src/main/java/org/lockdale/coordination/table/InMemoryTables.java
+++ b/coordination/src/main/java/org/lockdale/coordination/table/InMemoryTables.java
@@ -20,14 +20,14 @@
     return Optional.ofNullable(rows.get(new RowKey(table, key)));
   }
 
-  /** Creates a row; empty where it exists. */
+  /** Creates a row; returns empty if it already exists. */
   public Optional<TableRow> create(String table, String key, byte[] value) {
     TableRow row = new TableRow(value, writes.incrementAndGet());
     boolean created = rows.putIfAbsent(new RowKey(table, key), row) == null;
     return created ? Optional.of(row) : Optional.empty();
   }
 
-  /** Replaces a row of an expected version; empty where it has another. */
+  /** Replaces a row; returns empty if it is absent or does not have the expected version. */
   public Optional<TableRow> replace(String table, String key, byte[] value, long expectedVersion) {
     RowKey rowKey = new RowKey(table, key);
     TableRow before = rows.get(rowKey);
@@ -43,7 +43,7 @@
     return reads.get();
   }
 
-  /** Returns the number of write attempts so far. */
+  /** Returns the number of attempted writes, without those that failed the version check. */
   public long writeCount() {
     return writes.get();
   }
--- a/coordination/src/main/java/org/lockdale/coordination/table/TableRow.java
+++ b/coordination/src/main/java/org/lockdale/coordination/table/TableRow.java
@@ -4,6 +4,6 @@
  * A row as read or written.
  *
  * @param value contents
- * @param version rises with every write of the row
+ * @param version version of the row, which increases with every write
  */
 public record TableRow(byte[] value, long version) {}
--- a/coordination/src/main/java/org/lockdale/coordination/table/TableService.java
+++ b/coordination/src/main/java/org/lockdale/coordination/table/TableService.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Rows of bytes with versions and conditional writes. Every future fails with a {@link
- * TableServiceException}.
+ * A store of tables whose rows are byte arrays with versions, with conditional writes. The future
+ * of a failed call completes with a {@link TableServiceException}.
  */
 public interface TableService {
 
@@ -14,23 +14,23 @@
    *
    * @param table table name
    * @param key row key
-   * @return the row, or empty where there is none
+   * @return the row, or empty if there is none
    */
   CompletableFuture<Optional<TableRow>> read(String table, String key);
 
   /**
    * Creates a row.
    *
-   * @return the row as created; fails with {@link TableServiceException.Kind#CONDITION_FAILED}
-   *     where the row exists
+   * @return the row as created; fails with {@link TableServiceException.Kind#CONDITION_FAILED} if
+   *     the row exists
    */
   CompletableFuture<TableRow> create(String table, String key, byte[] value);
 
   /**
-   * Replaces a row whose version is the expected one.
+   * Replaces a row that has the expected version.
    *
-   * @return the row as replaced; fails with {@link TableServiceException.Kind#CONDITION_FAILED}
-   *     where the version is another or the row is absent
+   * @return the row as replaced; fails with {@link TableServiceException.Kind#CONDITION_FAILED} if
+   *     the row is absent or has another version
    */
   CompletableFuture<TableRow> replace(String table, String key, byte[] value, long expectedVersion);
 }
--- a/coordination/src/main/java/org/lockdale/coordination/table/TableServiceException.java
+++ b/coordination/src/main/java/org/lockdale/coordination/table/TableServiceException.java
@@ -1,38 +1,38 @@
 package org.lockdale.coordination.table;
 
-/** A call to the table service that brought no result. */
+/** Thrown if a call to the table service failed. */
 public final class TableServiceException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
-  /** What is known of a call without a result. */
+  /** The reason of a failure, which tells whether a write may have taken effect. */
   public enum Kind {
-    /** The row's state did not meet the condition; nothing was written. */
+    /** The row did not meet the condition of the write; nothing was written. */
     CONDITION_FAILED,
-    /** The service refused the call for its rate; nothing was written. */
+    /** The service rejected the call because of its rate limit; nothing was written. */
     RATE_LIMITED,
-    /** The changes that were asked for are forgotten; the table must be read whole. */
+    /** The requested changes are no longer available; the complete table must be read. */
     HISTORY_LOST,
     /** The call did not reach the service; nothing was written. */
     UNREACHABLE,
-    /** No answer came; the write may have taken effect or may still do so. */
+    /** No reply was received; a write may have taken effect or may still do so. */
     OUTCOME_UNKNOWN
   }
 
   private final Kind kind;
 
   /**
-   * Creates a failure.
+   * Creates an exception.
    *
-   * @param kind what is known of the call
-   * @param message what happened
+   * @param kind reason of the failure
+   * @param message description of the failure
    */
   public TableServiceException(Kind kind, String message) {
     super(message, null, false, false);
     this.kind = kind;
   }
 
-  /** Returns what is known of the call. */
+  /** Returns the reason of the failure. */
   public Kind kind() {
     return kind;
   }
--- a/coordination/src/main/java/org/lockdale/coordination/table/package-info.java
+++ b/coordination/src/main/java/org/lockdale/coordination/table/package-info.java
@@ -1,4 +1,4 @@
-/** The transactional table service as coordination needs it. */
+/** The interface of the transactional table service that coordination uses. */
 @NullMarked
 package org.lockdale.coordination.table;
 
--- a/coordination/src/main/java/org/lockdale/coordination/time/SystemTime.java
+++ b/coordination/src/main/java/org/lockdale/coordination/time/SystemTime.java
@@ -5,59 +5,68 @@
 import java.util.function.LongSupplier;
 
 /**
- * The machine's clocks, with the time for which the machine was suspended. The steady clock of the
- * system stands still meanwhile, so that a lease, a proof or a bound would seem to last longer than
- * it does, and the node would act on it when it wakes. The JVM offers no clock that counts such
- * time but the time of day, which also jumps when it is set. So a jump of it ahead of the steady
- * clock counts as a suspension: after a false one a node proves anew what it believes, sooner than
- * it had to. A jump back counts as nothing. All instances share what they have seen.
+ * The clocks of the machine, including the time for which the machine was suspended.
+ *
+ * <p>The steady clock of the system stops during a suspension, so that after resuming a node would
+ * take an expired lease or outdated state for valid and act on it. The only clock of the JVM that
+ * includes suspensions is the wall clock, which also jumps when it is set. A forward jump of the
+ * wall clock relative to the steady clock therefore counts as a suspension. If it was none, leases
+ * and cached state expire early and are renewed sooner than necessary. A backward jump is ignored.
+ * All users of {@link #instance} share the detected suspensions.
  */
 public final class SystemTime implements Time {
 
   /**
-   * Least jump that counts. Clocks are read some microseconds apart and are slewed by less than a
-   * millisecond a second; what is shorter than this is covered by the margins of leases.
+   * Minimum forward jump that counts as a suspension, in milliseconds. Smaller differences arise as
+   * the clocks are read some microseconds apart and slewed by less than a millisecond per second;
+   * shorter suspensions are covered by the safety margins of leases.
    */
-  private static final long LEAST_JUMP_MILLIS = 100;
+  private static final long MIN_SUSPENSION_MILLIS = 100;
 
-  /** From this difference on a slewed clock is taken as it is. */
-  private static final long SLEW_MILLIS = 20;
+  /**
+   * Difference in milliseconds at which the reference offset of the clocks is replaced, so that
+   * slewing does not add up to a suspension.
+   */
+  private static final long SLEW_THRESHOLD_MILLIS = 20;
 
-  /** Readings of the two clocks that lie further apart, as in a pause between them, don't count. */
-  private static final long MAX_READING_NANOS = 5_000_000;
+  /**
+   * Maximum time between the readings of the two clocks; a comparison that took longer, for example
+   * because the process was paused in between, is discarded.
+   */
+  private static final long MAX_READING_GAP_NANOS = 5_000_000;
 
-  /** The clocks are compared at most this often: each reading takes processor time. */
-  private static final long COMPARE_NANOS = 1_000_000;
+  /** Minimum time between comparisons of the clocks, which limits their processor time. */
+  private static final long COMPARISON_INTERVAL_NANOS = 1_000_000;
 
   private static final SystemTime SHARED =
       new SystemTime(System::nanoTime, System::currentTimeMillis);
 
-  /** Difference of the clocks at the last reading, and the suspensions until then. */
+  /** Offset of the wall clock to the steady clock, and the total of all suspensions detected. */
   private record Reading(long offsetMillis, long suspendedMillis) {}
 
   private final LongSupplier steadyNanos;
-  private final LongSupplier wall;
+  private final LongSupplier wallMillis;
   private final AtomicReference<Reading> latest;
   private volatile long comparedAtNanos;
 
   private SystemTime(LongSupplier steadyNanos, LongSupplier wallMillis) {
     this.steadyNanos = steadyNanos;
-    this.wall = wallMillis;
+    this.wallMillis = wallMillis;
     this.comparedAtNanos = steadyNanos.getAsLong();
     this.latest =
         new AtomicReference<>(new Reading(wallMillis.getAsLong() - millis(comparedAtNanos), 0));
   }
 
-  /** Returns the clocks of this machine. */
+  /** Returns the shared instance, which uses the clocks of this machine. */
   public static SystemTime instance() {
     return SHARED;
   }
 
   /**
-   * Returns a time by other clocks.
+   * Returns an instance that uses the given clocks.
    *
-   * @param steadyNanos a clock that never goes back and stands still in a suspension
-   * @param wallMillis the time of day
+   * @param steadyNanos a clock in nanoseconds that never goes back and stops during a suspension
+   * @param wallMillis the wall clock, in milliseconds
    */
   public static SystemTime of(LongSupplier steadyNanos, LongSupplier wallMillis) {
     return new SystemTime(steadyNanos, wallMillis);
@@ -70,8 +79,8 @@
   @Override
   public long monotonicMillis() {
     long nanos = steadyNanos.getAsLong();
-    if (nanos - comparedAtNanos >= COMPARE_NANOS) {
-      compare(nanos);
+    if (nanos - comparedAtNanos >= COMPARISON_INTERVAL_NANOS) {
+      compareClocks(nanos);
     }
     return millis(nanos) + latest.get().suspendedMillis();
   }
@@ -83,20 +92,20 @@
 
   @Override
   public long wallMillis() {
-    return wall.getAsLong();
+    return wallMillis.getAsLong();
   }
 
-  private void compare(long nanos) {
-    long offset = wall.getAsLong() - millis(nanos);
-    if (steadyNanos.getAsLong() - nanos > MAX_READING_NANOS) {
+  private void compareClocks(long nanos) {
+    long offset = wallMillis.getAsLong() - millis(nanos);
+    if (steadyNanos.getAsLong() - nanos > MAX_READING_GAP_NANOS) {
       return;
     }
     comparedAtNanos = nanos;
     Reading before = latest.get();
     long jump = offset - before.offsetMillis();
-    if (Math.abs(jump) >= SLEW_MILLIS) {
-      long suspended = jump >= LEAST_JUMP_MILLIS ? jump : 0;
-      // Of several threads that see the same jump one counts it.
+    if (Math.abs(jump) >= SLEW_THRESHOLD_MILLIS) {
+      long suspended = jump >= MIN_SUSPENSION_MILLIS ? jump : 0;
+      // If several threads detect the same jump, only one of them counts it.
       latest.compareAndSet(before, new Reading(offset, before.suspendedMillis() + suspended));
     }
   }
--- a/coordination/src/main/java/org/lockdale/coordination/time/Time.java
+++ b/coordination/src/main/java/org/lockdale/coordination/time/Time.java
@@ -1,31 +1,33 @@
 package org.lockdale.coordination.time;
 
-/** Source of time. */
+/** A source of time. */
 public interface Time {
 
   /**
-   * Returns milliseconds of a clock that never goes back and counts the time for which the machine
-   * was suspended; its zero has no meaning. For all that ends whatever the machine does: leases,
-   * proofs, bounds, deadlines.
+   * Returns milliseconds of a clock that never goes back, has an arbitrary origin and includes the
+   * time for which the machine was suspended. To be used for everything that expires regardless of
+   * the state of this machine, such as leases, the age of state, bounds and deadlines.
    */
   long monotonicMillis();
 
   /**
-   * Returns how much of {@link #monotonicMillis} the machine is taken to have been suspended, in
-   * milliseconds. The true time may be less: the time of day may have been set.
+   * Returns the part of {@link #monotonicMillis} for which the machine was presumably suspended, in
+   * milliseconds. The actual time may be less, as setting the wall clock ahead can't be told from a
+   * suspension.
    */
   default long suspendedMillis() {
     return 0;
   }
 
   /**
-   * Returns milliseconds of a clock that stands still while the machine is suspended. For what this
-   * process waits for, such as the next byte of a connection, which can't come meanwhile.
+   * Returns milliseconds of a clock that stops while the machine is suspended. To be used for
+   * events that this process waits for and that can't occur during a suspension, such as the next
+   * byte of a connection.
    */
   default long steadyMillis() {
     return monotonicMillis() - suspendedMillis();
   }
 
-  /** Returns milliseconds since 1970-01-01T00:00Z by the wall clock, which may be set back. */
+  /** Returns milliseconds since 1970-01-01T00:00Z of the wall clock, which may be set back. */
   long wallMillis();
 }
--- a/coordination/src/main/java/org/lockdale/coordination/time/package-info.java
+++ b/coordination/src/main/java/org/lockdale/coordination/time/package-info.java
@@ -1,4 +1,4 @@
-/** Injected time, so that the same state machines run on a system clock and on a virtual one. */
+/** An abstraction of time, with which state machines run on the system clock or a virtual one. */
 @NullMarked
 package org.lockdale.coordination.time;
 
--- a/coordination/src/test/java/org/lockdale/coordination/concurrent/FailuresTest.java
+++ b/coordination/src/test/java/org/lockdale/coordination/concurrent/FailuresTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CompletionException;
 import org.testng.annotations.Test;
 
-/** What made a future fail. */
+/** Tests {@link Failures}. */
 public final class FailuresTest {
 
   @Test
--- a/coordination/src/test/java/org/lockdale/coordination/example/EmbeddingExampleTest.java
+++ b/coordination/src/test/java/org/lockdale/coordination/example/EmbeddingExampleTest.java
@@ -21,7 +21,7 @@
 import org.lockdale.protocol.generated.MemberStatus;
 import org.testng.annotations.Test;
 
-/** The example of docs/COORDINATION.md: three nodes with a transport of the embedding program. */
+/** Runs the example of docs/COORDINATION.md: three nodes with the transport of an application. */
 public final class EmbeddingExampleTest {
 
   private final Map<InetSocketAddress, CoordinationNode> nodes = new HashMap<>();
@@ -35,12 +35,12 @@
         new CoordinationListener() {
           @Override
           public void memberChanged(Member member) {
-            // Called for every news of a member.
+            // Called after a member was added or changed.
           }
 
           @Override
           public void configurationChanged(ConfigurationState state) {
-            // Called when a newer version is in force here.
+            // Called after a newer version took effect at this node.
           }
         };
     CoordinationNode node =
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Three nodes find each other, and a change accepted at one is in force at all. */
+  /** Three nodes discover each other, and a change that one accepts takes effect at all of them. */
   @Test
   public void threeNodes() {
     CoordinationNode first = start(1);
--- a/coordination/src/test/java/org/lockdale/coordination/table/StoreVersionTest.java
+++ b/coordination/src/test/java/org/lockdale/coordination/table/StoreVersionTest.java
@@ -7,7 +7,7 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** Versions of a store that may come back from an older copy. */
+/** Tests versions of a store that may be restored from an older copy. */
 public final class StoreVersionTest {
 
   @Test
--- a/coordination/src/test/java/org/lockdale/coordination/time/SystemTimeTest.java
+++ b/coordination/src/test/java/org/lockdale/coordination/time/SystemTimeTest.java
@@ -5,7 +5,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The clock counts the time for which the machine was suspended. */
+/** Tests that the clock includes the time for which the machine was suspended. */
 public final class SystemTimeTest {
 
   private static final long NANOS = 1_000_000;
@@ -99,7 +99,7 @@
   public void aPauseBetweenTheReadingsOfTheTwoClocksDoesNotCount() {
     time.monotonicMillis();
     pass(10);
-    // The process stood still after the first reading; the second clock is read afterwards.
+    // The process is paused after the first reading, and the second clock is read after the pause.
     stallNanos = 400 * NANOS;
     wallMillis += 400;
     time.monotonicMillis();
