--- a/protocol/src/main/java/org/lockdale/protocol/MessageCodec.java
+++ b/protocol/src/main/java/org/lockdale/protocol/MessageCodec.java
@@ -27,17 +27,18 @@
 
 /**
  * Encodes and decodes one type of message with Avro. Each encoding starts with the 64-bit
- * fingerprint of the writer's schema, so that a reader can tell a schema it does not know from
- * damaged bytes and can read those of earlier versions.
+ * fingerprint of the writer's schema, so that a reader can distinguish an unknown schema from
+ * damaged bytes and can read messages of earlier schemas.
  *
- * <p>The fingerprints of the current schemas stand here, as to compute them a node would have to
- * parse the schemas at each start, which takes longer than all else that it does to speak.
+ * <p>The fingerprints of the current schemas are constants. Computing them would require a node to
+ * parse the schemas at each start, which takes longer than the rest of the initialization of
+ * messaging.
  *
- * @param <T> the generated class
+ * @param <T> generated class of the message
  */
 public final class MessageCodec<T extends Message> {
 
-  /** Bytes of the schema fingerprint in front of every encoding. */
+  /** Size of the schema fingerprint at the start of every encoding, in bytes. */
   public static final int FINGERPRINT_BYTES = Long.BYTES;
 
   private final long fingerprint;
@@ -51,42 +52,42 @@
     this.evolution = evolution;
   }
 
-  /** Returns a codec of node-to-node messages. */
+  /** Returns a codec of the messages between coordination nodes. */
   public static MessageCodec<PeerMessage> peerMessages() {
     return of(0x5CF394A6AF069A45L, PeerMessage::readFrom);
   }
 
-  /** Returns a codec of configuration changes as kept in the table service. */
+  /** Returns a codec of configuration changes in the table service. */
   public static MessageCodec<ConfigurationChange> configurationChanges() {
     return of(0x56907747370F7963L, ConfigurationChange::readFrom);
   }
 
-  /** Returns a codec of configuration snapshots as kept in the table service. */
+  /** Returns a codec of configuration snapshots in the table service. */
   public static MessageCodec<ConfigurationSnapshot> configurationSnapshots() {
     return of(0x95258D1037DA97E1L, ConfigurationSnapshot::readFrom);
   }
 
-  /** Returns a codec of run-once claims as kept in the table service. */
+  /** Returns a codec of claims of requests in the table service. */
   public static MessageCodec<ClaimRecord> claims() {
     return of(0x0538B6FEB55CE614L, ClaimRecord::readFrom);
   }
 
-  /** Returns a codec of leases as kept in the table service. */
+  /** Returns a codec of leases in the table service. */
   public static MessageCodec<LeaseRecord> leases() {
     return of(0xC284EF05DD9EB602L, LeaseRecord::readFrom);
   }
 
-  /** Returns a codec of the addresses of nodes as kept in the table service. */
+  /** Returns a codec of the addresses of nodes in the table service. */
   public static MessageCodec<NodeRecord> nodes() {
     return of(0xAFE9B37CEB77CDC8L, NodeRecord::readFrom);
   }
 
-  /** Returns a codec of when weights were named, as kept in the table service. */
+  /** Returns a codec of the target versions of weights in the table service. */
   public static MessageCodec<NamedWeightsRecord> namedWeights() {
     return of(0x57EF1CA75E9A5A1BL, NamedWeightsRecord::readFrom);
   }
 
-  /** Returns a codec of requests under which back ends ended, as kept in the table service. */
+  /** Returns a codec of suspect requests, under which backends crashed, in the table service. */
   public static MessageCodec<SuspectRecord> suspects() {
     return of(0x8EBE42B1758027B4L, SuspectRecord::readFrom);
   }
@@ -96,17 +97,17 @@
     return of(0xBCC127BBA5988424L, NodeDatagram::readFrom);
   }
 
-  /** Returns a codec of the datagrams between gateway nodes that earlier versions don't know. */
+  /** Returns a codec of the datagrams between gateway nodes that earlier versions can't read. */
   public static MessageCodec<NodeNotice> nodeNotices() {
     return of(0xA8D3FB67B66BFA9AL, NodeNotice::readFrom);
   }
 
-  /** Returns a codec of the datagrams between gateway nodes about the rates of back ends. */
+  /** Returns a codec of the datagrams between gateway nodes about rate limits of backends. */
   public static MessageCodec<RateDatagram> rateDatagrams() {
     return of(0xF59EEF35DA66E803L, RateDatagram::readFrom);
   }
 
-  /** Returns a codec of the datagrams between gateway nodes about back ends that leave. */
+  /** Returns a codec of the datagrams between gateway nodes about draining backends. */
   public static MessageCodec<DrainDatagram> drainDatagrams() {
     return of(0xB57AA0A0C9366968L, DrainDatagram::readFrom);
   }
@@ -126,11 +127,11 @@
   }
 
   /**
-   * Returns a codec that reads several versions of a schema.
+   * Returns a codec that can read several versions of a schema.
    *
-   * @param schema the schema to write, and to read into
-   * @param history all schemas whose encodings are understood
-   * @param reader reads what was written with the schema
+   * @param schema the current schema, which is used for writing
+   * @param history all schemas that can be read
+   * @param reader reads messages of the current schema
    */
   public static <T extends Message> MessageCodec<T> forSchema(
       Schema schema, SchemaHistory history, MessageReader<T> reader) {
@@ -140,7 +141,7 @@
         new SchemaEvolution(schema, history));
   }
 
-  /** Returns the fingerprint of the schema that is written. */
+  /** Returns the fingerprint of the schema that is used for writing. */
   long fingerprint() {
     return fingerprint;
   }
@@ -165,7 +166,7 @@
     }
   }
 
-  /** Returns whether bytes are a message of exactly the schema that this codec writes. */
+  /** Returns whether a message was written with the current schema, by its fingerprint. */
   public boolean wrote(byte[] bytes) {
     return bytes.length >= FINGERPRINT_BYTES && readFingerprint(bytes) == fingerprint;
   }
@@ -173,15 +174,18 @@
   /**
    * Decodes a message.
    *
-   * @throws MessageFormatException if the bytes are damaged or of an unknown schema
+   * @throws MessageFormatException if the message is damaged or its schema is unknown
    */
   public T decode(byte[] bytes) {
     if (bytes.length < FINGERPRINT_BYTES) {
       throw new MessageFormatException("the message is shorter than its schema fingerprint");
     }
-    long writer = readFingerprint(bytes);
+    long writerFingerprint = readFingerprint(bytes);
     try {
-      return reader.read(writer == fingerprint ? after(bytes) : ofAnotherVersion(writer, bytes));
+      return reader.read(
+          writerFingerprint == fingerprint
+              ? payloadDecoder(bytes)
+              : convertedDecoder(writerFingerprint, bytes));
     } catch (MessageFormatException unknown) {
       throw unknown;
     } catch (IOException | RuntimeException damaged) {
@@ -189,16 +193,16 @@
     }
   }
 
-  private static BinaryDecoder after(byte[] bytes) {
+  private static BinaryDecoder payloadDecoder(byte[] bytes) {
     return DecoderFactory.get()
         .binaryDecoder(bytes, FINGERPRINT_BYTES, bytes.length - FINGERPRINT_BYTES, null);
   }
 
-  private BinaryDecoder ofAnotherVersion(long writer, byte[] bytes) throws IOException {
+  private BinaryDecoder convertedDecoder(long writerFingerprint, byte[] bytes) throws IOException {
     if (evolution == null) {
-      throw MessageFormatException.unknownSchema(writer);
+      throw MessageFormatException.unknownSchema(writerFingerprint);
     }
-    byte[] current = evolution.toCurrent(writer, after(bytes));
+    byte[] current = evolution.toCurrent(writerFingerprint, payloadDecoder(bytes));
     return DecoderFactory.get().binaryDecoder(current, null);
   }
 
--- a/protocol/src/main/java/org/lockdale/protocol/MessageFormatException.java
+++ b/protocol/src/main/java/org/lockdale/protocol/MessageFormatException.java
@@ -1,6 +1,6 @@
 package org.lockdale.protocol;
 
-/** Bytes that are no message of a known schema. */
+/** Thrown if bytes are not a valid message of a known schema. */
 public final class MessageFormatException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/protocol/src/main/java/org/lockdale/protocol/MessageReader.java
+++ b/protocol/src/main/java/org/lockdale/protocol/MessageReader.java
@@ -6,11 +6,15 @@
 /**
  * Reads one type of message.
  *
- * @param <T> the generated class
+ * @param <T> generated class of the message
  */
 @FunctionalInterface
 public interface MessageReader<T extends Message> {
 
-  /** Reads a message that was written with the schema of its class. */
+  /**
+   * Reads a message that was written with the schema of its class.
+   *
+   * @throws IOException if the message is damaged
+   */
   T read(Decoder in) throws IOException;
 }
--- a/protocol/src/main/java/org/lockdale/protocol/SchemaEvolution.java
+++ b/protocol/src/main/java/org/lockdale/protocol/SchemaEvolution.java
@@ -10,7 +10,9 @@
 import org.apache.avro.io.Decoder;
 import org.apache.avro.io.EncoderFactory;
 
-/** Rewrites messages of other versions of a schema as the current one, by Avro's resolution. */
+/**
+ * Converts messages of other schema versions to the current schema, by Avro's schema resolution.
+ */
 final class SchemaEvolution {
 
   private final Schema current;
@@ -21,6 +23,14 @@
     this.history = history;
   }
 
+  /**
+   * Returns a message in the encoding of the current schema, without fingerprint.
+   *
+   * @param writerFingerprint fingerprint of the schema with which the message was written
+   * @param message the message after its fingerprint
+   * @throws IOException if the message is damaged
+   * @throws MessageFormatException if the schema is unknown
+   */
   byte[] toCurrent(long writerFingerprint, Decoder message) throws IOException {
     Schema writer = history.find(writerFingerprint);
     GenericRecord record =
--- a/protocol/src/main/java/org/lockdale/protocol/SchemaHistory.java
+++ b/protocol/src/main/java/org/lockdale/protocol/SchemaHistory.java
@@ -5,7 +5,7 @@
 import org.apache.avro.Schema;
 import org.apache.avro.SchemaNormalization;
 
-/** The schemas of one message type whose encodings this version can read. */
+/** The versions of the schema of a message type whose encodings can be read. */
 public final class SchemaHistory {
 
   private final Map<Long, Schema> byFingerprint;
@@ -14,7 +14,7 @@
     this.byFingerprint = byFingerprint;
   }
 
-  /** Returns a history of the given schemas. */
+  /** Returns a history with the given schemas. */
   public static SchemaHistory of(Schema... schemas) {
     Map<Long, Schema> byFingerprint = new LinkedHashMap<>();
     for (Schema schema : schemas) {
@@ -23,6 +23,11 @@
     return new SchemaHistory(Map.copyOf(byFingerprint));
   }
 
+  /**
+   * Returns the schema with a fingerprint.
+   *
+   * @throws MessageFormatException if there is none
+   */
   Schema find(long fingerprint) {
     Schema schema = byFingerprint.get(fingerprint);
     if (schema == null) {
--- a/protocol/src/main/java/org/lockdale/protocol/package-info.java
+++ b/protocol/src/main/java/org/lockdale/protocol/package-info.java
@@ -1,4 +1,4 @@
-/** Encoding of the messages that nodes send each other and of the rows they keep. */
+/** Encoding of messages between nodes and of rows in the table service. */
 @NullMarked
 package org.lockdale.protocol;
 
--- a/protocol/src/test/java/org/lockdale/protocol/MessageCodecTest.java
+++ b/protocol/src/test/java/org/lockdale/protocol/MessageCodecTest.java
@@ -55,7 +55,7 @@
 import org.lockdale.protocol.generated.TableSliceRequest;
 import org.testng.annotations.Test;
 
-/** Messages survive the way, and nodes one version apart understand each other. */
+/** Tests the encoding of messages, and the compatibility of nodes that are one version apart. */
 public final class MessageCodecTest {
 
   private static final String NEW_FIELD =
@@ -73,23 +73,23 @@
         MemberStatus.ALIVE);
   }
 
-  private static MessageCodec<MemberUpdate> codec(Schema... understood) {
+  private static MessageCodec<MemberUpdate> codec(Schema... readable) {
     return MessageCodec.forSchema(
-        MemberUpdate.getClassSchema(), SchemaHistory.of(understood), MemberUpdate::readFrom);
+        MemberUpdate.getClassSchema(), SchemaHistory.of(readable), MemberUpdate::readFrom);
   }
 
-  /** What is encoded is decoded. */
+  /** A decoded message equals the encoded one. */
   @Test
   public void roundTrip() {
     MessageCodec<MemberUpdate> codec = codec(MemberUpdate.getClassSchema());
     assertEquals(codec.decode(codec.encode(update())), update());
   }
 
-  /** A message of a version that did not know a field is read with the field's default. */
+  /** A message of an earlier schema without a field is read with the default of the field. */
   @Test
   public void theVersionBeforeIsUnderstood() throws IOException {
-    String before = MemberUpdate.getClassSchema().toString().replace(NEW_FIELD, "");
-    Schema old = new Schema.Parser().parse(before);
+    String earlierJson = MemberUpdate.getClassSchema().toString().replace(NEW_FIELD, "");
+    Schema old = new Schema.Parser().parse(earlierJson);
     assertEquals(old.getFields().size(), MemberUpdate.getClassSchema().getFields().size() - 1);
     GenericData.Record record = new GenericData.Record(old);
     record.put("id", "node-1");
@@ -116,7 +116,7 @@
     return bytes.toByteArray();
   }
 
-  /** The numbers that stand in the code are those of the schemas. */
+  /** The fingerprint constants match the schemas. */
   @Test
   public void fingerprintsAreThoseOfTheSchemas() {
     Map<MessageCodec<?>, Schema> schemas =
@@ -147,9 +147,12 @@
     assertEquals(wrong.toString(), "{}");
   }
 
-  /** During a rolling update nodes of an earlier version read all other datagrams as ever. */
+  /**
+   * Nodes of an earlier version reject notices during a rolling update, and continue to read all
+   * other datagrams. A notice is distinguished from these by its fingerprint.
+   */
   @Test
-  public void aNoticeIsToldFromTheDatagramsThatEarlierVersionsRead() {
+  public void aNoticeIsDistinguishedFromEarlierDatagrams() {
     byte[] notice =
         MessageCodec.nodeNotices()
             .encode(new NodeNotice("node", new LifeOverNotice(List.of("i-1@2"))));
@@ -164,17 +167,20 @@
         List.of("i-1@2"));
   }
 
-  /** Former builds know notices by their envelope, so a new kind has one of its own. */
+  /**
+   * Drain datagrams have an envelope schema of their own, as earlier versions that identify notices
+   * by their envelope could not read a new kind of notice.
+   */
   @Test
-  public void aLeavingIsToldFromTheDatagramsThatEarlierVersionsRead() {
-    byte[] leaving =
+  public void aDrainDatagramIsDistinguishedFromEarlierDatagrams() {
+    byte[] drain =
         MessageCodec.drainDatagrams()
             .encode(new DrainDatagram("node", new LeavingNotice(List.of("i-1@2"))));
-    assertTrue(MessageCodec.drainDatagrams().wrote(leaving));
-    assertFalse(MessageCodec.nodeNotices().wrote(leaving));
-    assertThrows(MessageFormatException.class, () -> MessageCodec.nodeDatagrams().decode(leaving));
+    assertTrue(MessageCodec.drainDatagrams().wrote(drain));
+    assertFalse(MessageCodec.nodeNotices().wrote(drain));
+    assertThrows(MessageFormatException.class, () -> MessageCodec.nodeDatagrams().decode(drain));
     assertEquals(
-        ((LeavingNotice) MessageCodec.drainDatagrams().decode(leaving).getBody()).getEngines(),
+        ((LeavingNotice) MessageCodec.drainDatagrams().decode(drain).getBody()).getEngines(),
         List.of("i-1@2"));
   }
 
@@ -201,7 +207,9 @@
                     16L, -17L, 18, List.of(new SuspectEndRecord("engine", true, false))))));
   }
 
-  /** What is written is what Avro writes by the schema, and Avro's own is read. */
+  /**
+   * Messages are written exactly as Avro writes them for the schema, and Avro's encoding is read.
+   */
   @Test
   public void theEncodingIsAvros() throws IOException {
     MessageCodec<NodeDatagram> codec = MessageCodec.nodeDatagrams();
@@ -223,17 +231,17 @@
     }
   }
 
-  /** Bytes of an unknown schema, cut ones and noise are refused by type. */
+  /** Truncated messages and messages with an unknown fingerprint are rejected. */
   @Test
   public void otherBytesAreRefused() {
     MessageCodec<MemberUpdate> codec = codec(MemberUpdate.getClassSchema());
-    byte[] good = codec.encode(update());
-    for (int length = 0; length < good.length; length++) {
-      byte[] cut = Arrays.copyOf(good, length);
-      expectThrows(MessageFormatException.class, () -> codec.decode(cut));
+    byte[] complete = codec.encode(update());
+    for (int length = 0; length < complete.length; length++) {
+      byte[] truncated = Arrays.copyOf(complete, length);
+      expectThrows(MessageFormatException.class, () -> codec.decode(truncated));
     }
-    byte[] noise = good.clone();
-    noise[0]++;
-    expectThrows(MessageFormatException.class, () -> codec.decode(noise));
+    byte[] unknownSchema = complete.clone();
+    unknownSchema[0]++;
+    expectThrows(MessageFormatException.class, () -> codec.decode(unknownSchema));
   }
 }
