--- a/settings/src/main/java/org/lockdale/settings/Setting.java
+++ b/settings/src/main/java/org/lockdale/settings/Setting.java
@@ -3,17 +3,17 @@
 import java.util.function.Function;
 
 /**
- * The one declaration of a setting.
+ * The declaration of a setting.
  *
  * @param <T> type of the value
  * @param key name in files and flags
- * @param type type in words
- * @param defaultText default as it would be written, or an empty string where one must be given
- * @param range allowed values in words
- * @param description what it does
+ * @param type description of the type
+ * @param defaultText default value as text, or an empty string if a value is required
+ * @param range description of the allowed values
+ * @param description description of the effect
  * @param secret whether the value must not be printed
- * @param parser turns the text into a value; throws {@link IllegalArgumentException} with the
- *     reason
+ * @param parser converts the text to a value; throws an {@link IllegalArgumentException} whose
+ *     message is the reason if the text is invalid
  */
 public record Setting<T>(
     String key,
@@ -24,19 +24,22 @@
     boolean secret,
     Function<String, T> parser) {
 
-  /** Settings are declared once, so two are equal only if they are the same. */
+  /** Compares by identity, as each setting is declared only once. */
   @Override
   public boolean equals(Object other) {
     return this == other;
   }
 
-  /** Written out, since a record's own is linked anew in every process that calls it. */
+  /**
+   * Returns the hash code of the key. Implemented explicitly, since the method that is generated
+   * for records is linked at run time in every process that calls it.
+   */
   @Override
   public int hashCode() {
     return key.hashCode();
   }
 
-  /** Returns whether a value must be given. */
+  /** Returns whether the setting has no default, so that a value is required. */
   public boolean isRequired() {
     return defaultText.isEmpty();
   }
--- a/settings/src/main/java/org/lockdale/settings/SettingsException.java
+++ b/settings/src/main/java/org/lockdale/settings/SettingsException.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** Settings with which nothing can be started. */
+/** Thrown if settings are invalid, so that the program can't start. */
 public final class SettingsException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
-  /** Creates a failure that lists all problems. */
+  /** Creates an exception whose message lists all problems, one per line. */
   public SettingsException(List<String> problems) {
     super(String.join(System.lineSeparator(), problems), null, false, false);
   }
--- a/settings/src/main/java/org/lockdale/settings/SettingsLoader.java
+++ b/settings/src/main/java/org/lockdale/settings/SettingsLoader.java
@@ -15,12 +15,12 @@
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
 
-/** Reads settings from a YAML file and flags, checks them all and reports every problem at once. */
+/** Loads settings from a YAML file and flags, and reports all problems together. */
 public final class SettingsLoader {
 
-  private record Given(String text, String source) {}
+  private record ProvidedValue(String text, String source) {}
 
-  private final Map<String, Given> given = new LinkedHashMap<>();
+  private final Map<String, ProvidedValue> provided = new LinkedHashMap<>();
   private final List<String> problems = new ArrayList<>();
 
   private final List<Setting<?>> declarations;
@@ -32,11 +32,12 @@
   /**
    * Loads settings.
    *
-   * @param declarations all settings that there are
+   * @param declarations all known settings
    * @param file YAML file of keys and values, or null for none
-   * @param flags values that override the file
-   * @return the checked value of every setting
-   * @throws SettingsException if anything is wrong; the message names file, key, value and remedy
+   * @param flags values by key, which override those of the file
+   * @return the parsed value of every setting
+   * @throws SettingsException if a setting is invalid, missing or unknown, or if the file can't be
+   *     read; the message states the source, key, value and remedy of each problem
    */
   public static Map<Setting<?>, Object> load(
       List<Setting<?>> declarations, @Nullable Path file, Map<String, String> flags) {
@@ -44,7 +45,7 @@
     if (file != null) {
       loader.readFile(file);
     }
-    flags.forEach((key, value) -> loader.given.put(key, new Given(value, "flag --set")));
+    flags.forEach((key, value) -> loader.provided.put(key, new ProvidedValue(value, "flag --set")));
     return loader.check();
   }
 
@@ -60,7 +61,8 @@
           problems.add(
               file + ": " + entry.getKey() + ": write the whole key with dots and a plain value.");
         } else {
-          given.put(entry.getKey(), new Given(entry.getValue().asText(), file.toString()));
+          provided.put(
+              entry.getKey(), new ProvidedValue(entry.getValue().asText(), file.toString()));
         }
       }
     } catch (JsonProcessingException malformed) {
@@ -73,10 +75,10 @@
   private Map<Setting<?>, Object> check() {
     Map<Setting<?>, Object> values = new HashMap<>();
     for (Setting<?> setting : declarations) {
-      Optional<Object> value = valueOf(setting, given.remove(setting.key()));
+      Optional<Object> value = valueOf(setting, provided.remove(setting.key()));
       value.ifPresent(checked -> values.put(setting, checked));
     }
-    given.forEach(
+    provided.forEach(
         (key, value) ->
             problems.add(
                 value.source()
@@ -90,7 +92,7 @@
     return values;
   }
 
-  private Optional<Object> valueOf(Setting<?> setting, @Nullable Given value) {
+  private Optional<Object> valueOf(Setting<?> setting, @Nullable ProvidedValue value) {
     if (value == null && setting.isRequired()) {
       problems.add(
           setting.key()
@@ -104,17 +106,17 @@
     String text = value == null ? setting.defaultText() : value.text();
     try {
       return Optional.of(setting.parser().apply(text));
-    } catch (IllegalArgumentException wrong) {
+    } catch (IllegalArgumentException invalid) {
       String source = value == null ? "default" : value.source();
-      String shown = setting.secret() ? "(secret)" : "'" + text + "'";
+      String displayed = setting.secret() ? "(secret)" : "'" + text + "'";
       problems.add(
           source
               + ": "
               + setting.key()
               + ": "
-              + shown
+              + displayed
               + " "
-              + wrong.getMessage()
+              + invalid.getMessage()
               + "; allowed: "
               + setting.range()
               + ".");
--- a/settings/src/main/java/org/lockdale/settings/SettingsReference.java
+++ b/settings/src/main/java/org/lockdale/settings/SettingsReference.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 
-/** Renders the reference page of settings from their declarations. */
+/** Generates the reference page of settings from their declarations. */
 public final class SettingsReference {
 
   private SettingsReference() {}
 
   /**
-   * Returns a page that describes all settings.
+   * Returns a Markdown page with a table of all settings.
    *
    * @param title heading of the page
    * @param introduction text between heading and table
--- a/settings/src/main/java/org/lockdale/settings/Trees.java
+++ b/settings/src/main/java/org/lockdale/settings/Trees.java
@@ -12,8 +12,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads and writes trees of values without an object mapper. A mapper also prepares for dates,
- * annotations and classes: 50 of the 440 ms of processor time of a node's start.
+ * Reads and writes JSON trees without an object mapper. An object mapper also initializes the
+ * support of dates, annotations and classes, which takes 50 of the 440 ms of processor time of the
+ * start of a node.
  */
 public final class Trees {
 
@@ -22,11 +23,11 @@
   private Trees() {}
 
   /**
-   * Reads one whole value.
+   * Reads a complete value.
    *
-   * @param parser at its beginning
-   * @return the value; a missing node where there is none
-   * @throws IOException if it is malformed or can't be read
+   * @param parser parser at the start of the value
+   * @return the value, or a missing node if the input is empty
+   * @throws IOException if the input is malformed or can't be read
    */
   public static JsonNode read(JsonParser parser) throws IOException {
     JsonToken first = parser.nextToken();
@@ -82,7 +83,7 @@
   /**
    * Writes a value.
    *
-   * @throws IOException if the generator can't write
+   * @throws IOException if the value can't be written
    */
   public static void write(JsonNode value, JsonGenerator out) throws IOException {
     switch (value.getNodeType()) {
--- a/settings/src/main/java/org/lockdale/settings/ValueParsers.java
+++ b/settings/src/main/java/org/lockdale/settings/ValueParsers.java
@@ -11,7 +11,10 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Parsers of setting values; each throws {@link IllegalArgumentException} with the reason. */
+/**
+ * Parsers of setting values. For an invalid value each throws an {@link IllegalArgumentException}
+ * whose message is the reason.
+ */
 public final class ValueParsers {
 
   private static final Pattern DURATION = Pattern.compile("(\\d{1,12}(?:\\.\\d{1,9})?)(ms|s|m)");
@@ -21,8 +24,8 @@
 
   private ValueParsers() {}
 
-  /** Returns a parser of whole numbers within a range. */
-  public static Function<String, Integer> integer(int least, int most) {
+  /** Returns a parser of integers within an inclusive range. */
+  public static Function<String, Integer> integer(int min, int max) {
     return text -> {
       int value;
       try {
@@ -30,15 +33,15 @@
       } catch (NumberFormatException notANumber) {
         throw new IllegalArgumentException("is not a whole number");
       }
-      if (value < least || value > most) {
-        throw new IllegalArgumentException("is not within " + least + " to " + most);
+      if (value < min || value > max) {
+        throw new IllegalArgumentException("is not within " + min + " to " + max);
       }
       return value;
     };
   }
 
-  /** Returns a parser of durations within a range, such as 250ms, 5s or 2m. */
-  public static Function<String, Duration> duration(Duration least, Duration most) {
+  /** Returns a parser of durations within an inclusive range, such as 250ms, 5s or 2m. */
+  public static Function<String, Duration> duration(Duration min, Duration max) {
     return text -> {
       Matcher matcher = DURATION.matcher(text);
       if (!matcher.matches()) {
@@ -53,14 +56,14 @@
           };
       Duration value =
           Duration.ofNanos(amount.multiply(BigDecimal.valueOf(unit.toNanos())).longValue());
-      if (value.compareTo(least) < 0 || value.compareTo(most) > 0) {
-        throw new IllegalArgumentException("is not within " + least + " to " + most);
+      if (value.compareTo(min) < 0 || value.compareTo(max) > 0) {
+        throw new IllegalArgumentException("is not within " + min + " to " + max);
       }
       return value;
     };
   }
 
-  /** Returns a parser of names of lower-case letters, digits, dots and hyphens. */
+  /** Returns a parser of names of 1 to 63 lower-case letters, digits, dots and hyphens. */
   public static Function<String, String> name() {
     return text -> {
       if (!text.matches("[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?")) {
@@ -71,17 +74,17 @@
     };
   }
 
-  /** Returns a parser of texts of a least length. */
-  public static Function<String, String> text(int leastLength) {
+  /** Returns a parser of texts of a minimum length in characters. */
+  public static Function<String, String> text(int minLength) {
     return text -> {
-      if (text.length() < leastLength) {
-        throw new IllegalArgumentException("is shorter than " + leastLength + " characters");
+      if (text.length() < minLength) {
+        throw new IllegalArgumentException("is shorter than " + minLength + " characters");
       }
       return text;
     };
   }
 
-  /** Parses an IP address; names are not looked up. */
+  /** Parses an IP address; host names are rejected, without a lookup. */
   public static InetAddress ipAddress(String text) {
     if (!text.matches("[0-9.]+|[0-9a-fA-F:]+")) {
       throw new IllegalArgumentException("is not an IP address");
@@ -93,7 +96,7 @@
     }
   }
 
-  /** Parses an IP address and port. */
+  /** Parses an IP address with a port. */
   public static InetSocketAddress address(String text) {
     Matcher matcher = ADDRESS.matcher(text);
     if (!matcher.matches()) {
@@ -106,7 +109,7 @@
     return new InetSocketAddress(ipAddress(matcher.group(1).replaceAll("[\\[\\]]", "")), port);
   }
 
-  /** Parses a list of addresses separated by commas, or "none". */
+  /** Parses a comma-separated list of addresses; "none" is the empty list. */
   public static List<InetSocketAddress> addresses(String text) {
     List<InetSocketAddress> addresses = new ArrayList<>();
     if (text.equals(NONE)) {
--- a/settings/src/main/java/org/lockdale/settings/package-info.java
+++ b/settings/src/main/java/org/lockdale/settings/package-info.java
@@ -1,4 +1,4 @@
-/** Declaration, parsing and checking of settings, shared by all daemons. */
+/** Declaration, parsing and validation of settings, shared by all daemons. */
 @NullMarked
 package org.lockdale.settings;
 
--- a/settings/src/test/java/org/lockdale/settings/TreesTest.java
+++ b/settings/src/test/java/org/lockdale/settings/TreesTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Trees are read and written as an object mapper reads and writes them. */
+/** Tests that trees are read and written in the same way as by an object mapper. */
 public final class TreesTest {
 
   private static final JsonFactory JSON = new JsonFactory();
@@ -54,12 +54,12 @@
   }
 
   @Test(dataProvider = "malformed")
-  public void whatIsCutOrMalformedIsRefused(String text) {
+  public void truncatedOrMalformedInputIsRejected(String text) {
     expectThrows(IOException.class, () -> read(text));
   }
 
   @Test
-  public void nothingIsAMissingNode() throws IOException {
+  public void emptyInputIsAMissingNode() throws IOException {
     assertTrue(read("").isMissingNode());
   }
 }
