--- a/coordination/src/main/java/org/lockdale/coordination/blackboard/Section.java
+++ b/coordination/src/main/java/org/lockdale/coordination/blackboard/Section.java
@@ -31,9 +31,9 @@
    * Replaces the value; to be called only by the controller that owns the section.
    *
    * @param value the new value
-   * @param trueAtMillis monotonic time at which the value was known to be current
+   * @param asOfMillis monotonic time at which the value was known to be current
    */
-  public void publish(T value, long trueAtMillis) {
-    current.updateAndGet(before -> new Snapshot<>(value, before.version() + 1, trueAtMillis));
+  public void publish(T value, long asOfMillis) {
+    current.updateAndGet(before -> new Snapshot<>(value, before.version() + 1, asOfMillis));
   }
 }
--- a/coordination/src/main/java/org/lockdale/coordination/claim/RunOnceClaims.java
+++ b/coordination/src/main/java/org/lockdale/coordination/claim/RunOnceClaims.java
@@ -207,10 +207,10 @@
   }
 
   private ClaimRecord withState(ClaimRecord record, ClaimState state) {
-    ClaimRecord ended = record.copy();
-    ended.setState(state);
-    ended.setUpdatedAtMillis(time.wallMillis());
-    return ended;
+    ClaimRecord updated = record.copy();
+    updated.setState(state);
+    updated.setUpdatedAtMillis(time.wallMillis());
+    return updated;
   }
 
   private static TableServiceException.Kind kindOf(Throwable failure) {
--- a/coordination/src/main/java/org/lockdale/coordination/configuration/ConfigurationConflictException.java
+++ b/coordination/src/main/java/org/lockdale/coordination/configuration/ConfigurationConflictException.java
@@ -1,6 +1,6 @@
 package org.lockdale.coordination.configuration;
 
-/** Thrown if another edit was accepted at the version that an edit was proposed for. */
+/** Thrown if another edit on the same base version was accepted first. */
 public final class ConfigurationConflictException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/coordination/src/main/java/org/lockdale/coordination/configuration/ConfigurationHistory.java
+++ b/coordination/src/main/java/org/lockdale/coordination/configuration/ConfigurationHistory.java
@@ -74,8 +74,8 @@
     }
     boolean mayHaveTakenEffect = cause.kind() == TableServiceException.Kind.OUTCOME_UNKNOWN;
     if (mayHaveTakenEffect && attemptsLeft > 1) {
-      // Creating the row again is safe: if the first call took effect, the row has this change's
-      // id.
+      // Creating the row again is safe: if the first call took effect, the row has the id of this
+      // change.
       return propose(change, attemptsLeft - 1);
     }
     return CompletableFuture.failedFuture(cause);
@@ -146,8 +146,8 @@
       return CompletableFuture.failedFuture(asTableFailure(failure));
     }
     if (failure != null || found.isEmpty()) {
-      // Keeps a partial result: otherwise a reader that is far behind would never catch up while
-      // calls to the service fail now and then.
+      // Keeps a partial result: otherwise a reader that is far behind would never catch up if calls
+      // to the service fail occasionally.
       return CompletableFuture.completedFuture(collected);
     }
     collected.add(found.get());
--- a/coordination/src/main/java/org/lockdale/coordination/lease/LeaseStore.java
+++ b/coordination/src/main/java/org/lockdale/coordination/lease/LeaseStore.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Access to the store that holds the row of a lease. The future of a failed call completes with a
- * {@link org.lockdale.coordination.table.TableServiceException}.
+ * Access to the store that holds the row of a lease. The future of a failed call completes
+ * exceptionally with a {@link org.lockdale.coordination.table.TableServiceException}.
  */
 public interface LeaseStore {
 
--- a/coordination/src/main/java/org/lockdale/coordination/membership/MemberTable.java
+++ b/coordination/src/main/java/org/lockdale/coordination/membership/MemberTable.java
@@ -44,9 +44,8 @@
   void put(Member member, long nowMillis) {
     Member before = members.put(member.id(), member);
     if (before == null) {
-      // The random position prevents nodes that learn of members in the same order from probing
-      // them
-      // in the same order.
+      // A random position prevents nodes that learn of members in the same order from probing the
+      // same members at the same time.
       probeOrder.add(random.nextInt(probeOrder.size() + 1), member.id());
     }
     if (before == null || before.status() != member.status()) {
@@ -141,9 +140,8 @@
         candidates.add(member);
       }
     }
-    // Sorted, as the result must not depend on the iteration order of the map: otherwise
-    // simulations
-    // with the same seed would differ.
+    // Sorted, since otherwise the iteration order of the map would make simulations with the same
+    // seed differ.
     candidates.sort(Comparator.comparing(Member::id));
     return candidates;
   }
--- a/coordination/src/main/java/org/lockdale/coordination/table/TableService.java
+++ b/coordination/src/main/java/org/lockdale/coordination/table/TableService.java
@@ -5,7 +5,7 @@
 
 /**
  * A store of tables whose rows are byte arrays with versions, with conditional writes. The future
- * of a failed call completes with a {@link TableServiceException}.
+ * of a failed call completes exceptionally with a {@link TableServiceException}.
  */
 public interface TableService {
 
--- a/coordination/src/main/java/org/lockdale/coordination/time/Time.java
+++ b/coordination/src/main/java/org/lockdale/coordination/time/Time.java
@@ -12,8 +12,8 @@
 
   /**
    * Returns the part of {@link #monotonicMillis} for which the machine was presumably suspended, in
-   * milliseconds. The actual time may be less, as setting the wall clock ahead can't be told from a
-   * suspension.
+   * milliseconds. The actual time may be less, as setting the wall clock ahead can't be
+   * distinguished from a suspension.
    */
   default long suspendedMillis() {
     return 0;
--- a/coordination/src/test/java/org/lockdale/coordination/lease/LeaseTest.java
+++ b/coordination/src/test/java/org/lockdale/coordination/lease/LeaseTest.java
@@ -262,8 +262,8 @@
 
   /**
    * Guards against an unreadable row that makes each reading fail, so that the lease is never taken
-   * over. Any earlier hold has ended one term after the row was first read, so the lease is free
-   * after this term and the guard time.
+   * over. Any earlier hold has ended one term after the row was first read as unreadable, so the
+   * lease is free after this term and the guard time.
    */
   @Test
   public void aRowThatCannotBeReadIsTakenOverAfterTheLongestHold() {
--- a/settings/src/main/java/org/lockdale/settings/Trees.java
+++ b/settings/src/main/java/org/lockdale/settings/Trees.java
@@ -12,9 +12,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads and writes JSON trees without an object mapper. An object mapper also initializes the
- * support of dates, annotations and classes, which takes 50 of the 440 ms of processor time of the
- * start of a node.
+ * Reads and writes {@link JsonNode} trees without an object mapper. An object mapper also
+ * initializes the support of dates, annotations and classes, which takes 50 of the 440 ms of
+ * processor time of the start of a node.
  */
 public final class Trees {
 
