--- a/gateway/src/main/java/org/lockdale/gateway/backend/RateStatement.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/AdvertisedRate.java
@@ -1,20 +1,20 @@
 package org.lockdale.gateway.backend;
 
 /** Rate limit that a response of a backend advertises, for the requests of all nodes together. */
-public sealed interface RateStatement {
+public sealed interface AdvertisedRate {
 
   /** The response advertises no rate limit. */
-  RateStatement NONE = new None();
+  AdvertisedRate NONE = new None();
 
   /** The response advertises no rate limit. */
-  record None() implements RateStatement {}
+  record None() implements AdvertisedRate {}
 
   /**
    * The response advertises a rate limit.
    *
    * @param perSecond requests per second, finite and not negative
    */
-  record Limited(double perSecond) implements RateStatement {
+  record Limited(double perSecond) implements AdvertisedRate {
 
     /**
      * Creates a rate limit.
@@ -33,5 +33,5 @@
    *
    * @param text the value
    */
-  record Unreadable(String text) implements RateStatement {}
+  record Unreadable(String text) implements AdvertisedRate {}
 }
--- a/gateway/src/main/java/org/lockdale/gateway/backend/Backend.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/Backend.java
@@ -12,7 +12,7 @@
  * @param address address at which it is reached
  * @param zone zone in which it runs
  * @param slots number of requests that it processes at once
- * @param leaving whether the backend is draining and accepts no new requests
+ * @param draining whether the backend is draining and accepts no new requests
  * @param weights version of the weights of each model that it runs
  */
 public record Backend(
@@ -21,7 +21,7 @@
     InetSocketAddress address,
     String zone,
     int slots,
-    boolean leaving,
+    boolean draining,
     Map<String, Long> weights) {
 
   /** Creates the record of an incarnation given by its text form. */
@@ -53,7 +53,7 @@
         && address.equals(backend.address)
         && zone.equals(backend.zone)
         && slots == backend.slots
-        && leaving == backend.leaving
+        && draining == backend.draining
         && weights.equals(backend.weights);
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendRest.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendBackoff.java
@@ -7,7 +7,7 @@
  * the backend. Neither a later request for a shorter backoff nor a request served in the meantime
  * shortens it. Safe for use by several threads.
  */
-public final class BackendRest {
+public final class BackendBackoff {
 
   private static final long NEVER = Long.MIN_VALUE;
 
@@ -20,13 +20,13 @@
    * @param nowMillis monotonic time in milliseconds
    * @return whether this begins or extends the backoff
    */
-  public boolean asked(long millis, long nowMillis) {
+  public boolean extend(long millis, long nowMillis) {
     long until = nowMillis + millis;
     return untilMillis.getAndAccumulate(until, Math::max) < until;
   }
 
   /** Returns whether a backoff is in effect. */
-  public boolean isOn(long nowMillis) {
+  public boolean isActive(long nowMillis) {
     return nowMillis < untilMillis.get();
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendLoad.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendLoad.java
@@ -12,7 +12,7 @@
   private final AtomicInteger openRequests = new AtomicInteger();
   private final AtomicLong waitingTokens = new AtomicLong();
   private final AtomicLong runningTokens = new AtomicLong();
-  private final AtomicLong progress = new AtomicLong();
+  private final AtomicLong changeCount = new AtomicLong();
 
   /** One request's share of the load. Not thread-safe. */
   public final class Share {
@@ -38,7 +38,7 @@
       begun = true;
       waitingTokens.addAndGet(-computedTokens);
       runningTokens.addAndGet(promptTokens);
-      progress.incrementAndGet();
+      changeCount.incrementAndGet();
       return true;
     }
 
@@ -54,7 +54,7 @@
       } else {
         waitingTokens.addAndGet(-computedTokens);
       }
-      progress.incrementAndGet();
+      changeCount.incrementAndGet();
     }
   }
 
@@ -67,7 +67,7 @@
   public Share open(long computedTokens, long promptTokens) {
     openRequests.incrementAndGet();
     waitingTokens.addAndGet(computedTokens);
-    progress.incrementAndGet();
+    changeCount.incrementAndGet();
     return new Share(computedTokens, promptTokens);
   }
 
@@ -76,8 +76,8 @@
    * report that covers placements made by a relay node must include every engine whose number has
    * increased, since the relay then discards these placements.
    */
-  public long progress() {
-    return progress.get();
+  public long changeCount() {
+    return changeCount.get();
   }
 
   /** Returns the total of the work. */
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendProtocol.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendProtocol.java
@@ -20,5 +20,5 @@
   boolean belongsTo(CallerRequest request, HttpHeaders response);
 
   /** Parses the head of a response. */
-  AnswerHead read(int status, HttpHeaders headers);
+  ResponseHead read(int status, HttpHeaders headers);
 }
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendTable.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendTable.java
@@ -73,7 +73,7 @@
    * Nodes of an earlier version send the id of the server without a start time; it denotes the
    * present incarnation.
    */
-  public @Nullable TrackedBackend named(String name) {
+  public @Nullable TrackedBackend resolve(String name) {
     TrackedBackend exact = byId.get(name);
     boolean lacksStartTime = Incarnation.parse(name).startedAtMillis().isEmpty();
     return exact == null && lacksStartTime ? byServer.get(name) : exact;
--- a/gateway/src/main/java/org/lockdale/gateway/backend/RestStatement.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/RequestedBackoff.java
@@ -1,27 +1,27 @@
 package org.lockdale.gateway.backend;
 
 /** Backoff that a backend requests, in a response, from the node that sent the request. */
-public sealed interface RestStatement {
+public sealed interface RequestedBackoff {
 
   /** The response requests no backoff. */
-  RestStatement NONE = new None();
+  RequestedBackoff NONE = new None();
 
   /** The response requests no backoff. */
-  record None() implements RestStatement {}
+  record None() implements RequestedBackoff {}
 
   /**
    * The backend requests that this node send it no requests for a time.
    *
    * @param millis length of the backoff from the response on, in milliseconds, more than 0
    */
-  record Wanted(long millis) implements RestStatement {
+  record Requested(long millis) implements RequestedBackoff {
 
     /**
      * Creates a requested backoff.
      *
      * @throws IllegalArgumentException if the length is not positive
      */
-    public Wanted {
+    public Requested {
       if (millis <= 0) {
         throw new IllegalArgumentException("Backoff must be longer than 0 ms: " + millis);
       }
@@ -33,5 +33,5 @@
    *
    * @param text the value
    */
-  record Unreadable(String text) implements RestStatement {}
+  record Unreadable(String text) implements RequestedBackoff {}
 }
--- a/gateway/src/main/java/org/lockdale/gateway/backend/AnswerHead.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/ResponseHead.java
@@ -13,23 +13,23 @@
  * @param misdirected whether the backend is another incarnation, or holds other weights, than the
  *     request expected
  * @param authentic whether the response carries the backend's proof that it comes from that backend
- * @param events whether the body is a stream of events
+ * @param eventStream whether the body is a stream of events
  * @param weights version of the weights that serve the request, or null where it is not given
- * @param rate the rate limit that the response advertises
- * @param leaving whether the response announces that the backend is draining
- * @param rest the backoff that the backend requests from this node
+ * @param advertisedRate the rate limit that the response advertises
+ * @param draining whether the response announces that the backend is draining
+ * @param requestedBackoff the backoff that the backend requests from this node
  */
-public record AnswerHead(
+public record ResponseHead(
     int status,
     HttpHeaders headers,
     boolean notRun,
     boolean misdirected,
     boolean authentic,
-    boolean events,
+    boolean eventStream,
     @Nullable Long weights,
-    RateStatement rate,
-    boolean leaving,
-    RestStatement rest) {
+    AdvertisedRate advertisedRate,
+    boolean draining,
+    RequestedBackoff requestedBackoff) {
 
   private static final Set<Integer> NOT_RUN_STATUSES = Set.of(408, 421, 429, 503);
   private static final int SUCCESS_CLASS = 2;
@@ -37,7 +37,7 @@
   private static final int CLASS_SIZE = 100;
 
   /** Returns whether callers would conclude from the status that the request has not run. */
-  public boolean promisesNotRun() {
+  public boolean impliesNotRun() {
     return NOT_RUN_STATUSES.contains(status);
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/backend/TrackedBackend.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/TrackedBackend.java
@@ -32,13 +32,13 @@
   private static final class LearnedState {
     final BackendHealth health = new BackendHealth();
     final BackendLoad load = new BackendLoad();
-    final BackendRest backoff;
+    final BackendBackoff backoff;
     final Map<String, ObservedWeights> weights = new ConcurrentHashMap<>();
     final AtomicLong aliveAtMillis = new AtomicLong(Long.MIN_VALUE / 2);
     final AtomicBoolean draining = new AtomicBoolean();
     final Set<Runnable> endListeners = ConcurrentHashMap.newKeySet();
 
-    LearnedState(BackendRest backoff) {
+    LearnedState(BackendBackoff backoff) {
       this.backoff = backoff;
     }
   }
@@ -59,7 +59,7 @@
 
   /** Returns a backend of which only the record is known. */
   public static TrackedBackend of(Backend backend) {
-    return new TrackedBackend(backend, new LearnedState(new BackendRest()), new AtomicBoolean());
+    return new TrackedBackend(backend, new LearnedState(new BackendBackoff()), new AtomicBoolean());
   }
 
   /**
@@ -87,7 +87,7 @@
    *
    * @return whether this was not known before
    */
-  public boolean end() {
+  public boolean markEnded() {
     boolean isNew = ended.compareAndSet(false, true);
     if (isNew) {
       learned.endListeners.forEach(Runnable::run);
@@ -96,17 +96,17 @@
   }
 
   /** Registers an action that runs, on any thread, once this incarnation is known to have ended. */
-  public void whenOver(Runnable action) {
+  public void addEndListener(Runnable action) {
     learned.endListeners.add(action);
   }
 
-  /** Removes an action registered with {@link #whenOver}. */
-  public void forget(Runnable action) {
+  /** Removes an action registered with {@link #addEndListener}. */
+  public void removeEndListener(Runnable action) {
     learned.endListeners.remove(action);
   }
 
   /** Returns whether this incarnation is known to have ended; no more requests are sent to it. */
-  public boolean isOver() {
+  public boolean hasEnded() {
     return ended.get();
   }
 
@@ -116,18 +116,18 @@
    *
    * @return whether it had not announced it before
    */
-  public boolean leave() {
+  public boolean markDraining() {
     return learned.draining.compareAndSet(false, true);
   }
 
   /** Returns whether this incarnation has announced in a response that it is draining. */
-  public boolean hasSaidItLeaves() {
+  public boolean hasAnnouncedDraining() {
     return learned.draining.get();
   }
 
   /** Returns whether this incarnation is draining, according to its record or its responses. */
-  public boolean isLeaving() {
-    return backend.leaving() || learned.draining.get();
+  public boolean isDraining() {
+    return backend.draining() || learned.draining.get();
   }
 
   /**
@@ -135,11 +135,11 @@
    * have ended.
    */
   public boolean isServing() {
-    return !isLeaving() && !isOver();
+    return !isDraining() && !hasEnded();
   }
 
   /** Returns the backoff that the backend requested from this node. */
-  public BackendRest rest() {
+  public BackendBackoff backoff() {
     return learned.backoff;
   }
 
@@ -178,7 +178,7 @@
    *
    * @param sentAtMillis monotonic time in milliseconds at which the attempt was sent
    */
-  public void answered(long sentAtMillis) {
+  public void recordAlive(long sentAtMillis) {
     learned.aliveAtMillis.accumulateAndGet(sentAtMillis, Math::max);
   }
 
@@ -186,7 +186,7 @@
    * Returns the latest monotonic time, in milliseconds, at which this incarnation is known to have
    * been alive; far in the past where no response was received.
    */
-  public long aliveAtMillis() {
+  public long lastKnownAliveMillis() {
     return learned.aliveAtMillis.get();
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/blackboard/GatewayBlackboard.java
+++ b/gateway/src/main/java/org/lockdale/gateway/blackboard/GatewayBlackboard.java
@@ -4,7 +4,7 @@
 import org.lockdale.gateway.backend.BackendTable;
 import org.lockdale.gateway.configuration.GatewayConfiguration;
 import org.lockdale.gateway.quarantine.Suspects;
-import org.lockdale.gateway.weights.NamedWeights;
+import org.lockdale.gateway.weights.TargetWeights;
 import org.lockdale.gateway.weights.RolloutProgress;
 
 /**
@@ -20,7 +20,7 @@
  */
 public record GatewayBlackboard(
     Section<GatewayConfiguration> configuration,
-    Section<NamedWeights> weights,
+    Section<TargetWeights> weights,
     Section<BackendTable> backends,
     Section<RolloutProgress> rollout,
     Section<Suspects> suspects,
@@ -30,7 +30,7 @@
   public static GatewayBlackboard empty() {
     return new GatewayBlackboard(
         new Section<>(GatewayConfiguration.NONE),
-        new Section<>(NamedWeights.NONE),
+        new Section<>(TargetWeights.NONE),
         new Section<>(BackendTable.EMPTY),
         new Section<>(RolloutProgress.NONE),
         new Section<>(Suspects.NONE),
--- a/gateway/src/main/java/org/lockdale/gateway/cache/PrefixNeed.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/MissingPrefix.java
@@ -8,7 +8,7 @@
  *     twice
  * @param unknown tokens that no holder is known to have or to compute
  */
-public record PrefixNeed(long fetchable, long recomputed, long unknown) {
+public record MissingPrefix(long fetchable, long recomputed, long unknown) {
 
   /** Returns the number of tokens that the engine would have to compute. */
   public long computed() {
--- a/gateway/src/main/java/org/lockdale/gateway/cache/PrefixAvailability.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/PrefixAvailability.java
@@ -21,7 +21,7 @@
    *
    * @param depth number of leading parts that the engine holds or will hold soon
    */
-  public PrefixNeed missingFrom(int depth) {
+  public MissingPrefix missingFrom(int depth) {
     long fetchable = 0;
     long recomputed = 0;
     long unknown = 0;
@@ -35,6 +35,6 @@
         unknown += tokens;
       }
     }
-    return new PrefixNeed(fetchable, recomputed, unknown);
+    return new MissingPrefix(fetchable, recomputed, unknown);
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/NodeReporter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/NodeReporter.java
@@ -168,7 +168,7 @@
     for (TrackedBackend tracked : backends.get().all()) {
       String engine = tracked.backend().id();
       Reported last = lastReported.getOrDefault(engine, NOT_REPORTED);
-      long progress = tracked.load().progress();
+      long progress = tracked.load().changeCount();
       BackendWork work = tracked.load().work();
       boolean due =
           now - last.reportedAtMillis() >= REPORT_INTERVAL_MILLIS - BATCH_MILLIS && !work.isNone();
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/PlacementClient.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/PlacementClient.java
@@ -169,14 +169,14 @@
         excluded,
         pool,
         MAX_EXCLUDED,
-        tracked -> tracked.hasSaidItLeaves() || tracked.rest().isOn(now));
+        tracked -> tracked.hasAnnouncedDraining() || tracked.backoff().isActive(now));
     addMatching(
         excluded, pool, MAX_EXCLUDED_AS_FAILING, tracked -> tracked.health().isEjected(now));
     return List.copyOf(excluded);
   }
 
   private boolean acceptsRequests(TrackedBackend target) {
-    return target.isServing() && !target.rest().isOn(context.time().monotonicMillis());
+    return target.isServing() && !target.backoff().isActive(context.time().monotonicMillis());
   }
 
   private static void addMatching(
@@ -247,14 +247,14 @@
     if (question != null && question.relay().equals(sender)) {
       pending.remove(delay.getNumber());
       unansweredQuestions.set(0);
-      question.result().complete(new PlacementResult.NotNow(delay.getWaitMillis()));
+      question.result().complete(new PlacementResult.RetryLater(delay.getWaitMillis()));
     }
   }
 
   private @Nullable Placement placement(
       String sender, PlacementQuery query, PlacementAnswer answer, boolean isGranted) {
     String engine = answer.getEngine();
-    TrackedBackend target = engine == null ? null : context.backends().get().named(engine);
+    TrackedBackend target = engine == null ? null : context.backends().get().resolve(engine);
     if (target == null || !acceptsRequests(target)) {
       return null;
     }
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/PlacementResponder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/PlacementResponder.java
@@ -49,14 +49,14 @@
   void answer(String sender, InetSocketAddress address, PlacementQuestion question) {
     PlacementResult result =
         decider.decideForAnother(PlacementMessages.query(question), time.monotonicMillis());
-    if (result instanceof PlacementResult.NotNow notNow) {
+    if (result instanceof PlacementResult.RetryLater notNow) {
       // A node of an earlier version ignores this message and uses the answer that follows; others
       // use whichever arrives first.
       datagrams.sendOfRates(
           List.of(address), new PlacementDelay(question.getNumber(), notNow.waitMillis()));
     }
     if (result instanceof PlacementResult.Placed placed
-        && decider.isCounted(placed.placement().target())) {
+        && decider.countsTowardsRateLimit(placed.placement().target())) {
       datagrams.sendOfRates(List.of(address), new RateGrant(question.getNumber()));
     }
     datagrams.send(
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/RateExchange.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/RateExchange.java
@@ -21,7 +21,7 @@
 import java.util.function.IntSupplier;
 import java.util.function.Supplier;
 import org.lockdale.coordination.time.Time;
-import org.lockdale.gateway.backend.RateStatement;
+import org.lockdale.gateway.backend.AdvertisedRate;
 import org.lockdale.gateway.limit.ShareLender;
 import org.lockdale.gateway.rate.BackendRates;
 import org.lockdale.gateway.rate.StatedRates;
@@ -99,7 +99,7 @@
       Time time) {}
 
   private record Observation(
-      String backend, RateStatement rate, long sentAtMillis, long receivedAtMillis) {}
+      String backend, AdvertisedRate rate, long sentAtMillis, long receivedAtMillis) {}
 
   private final Context context;
   private final LoanSender loanSender;
@@ -163,7 +163,7 @@
   }
 
   private void onRateReceived(
-      String backend, RateStatement rate, long sentAt, long receivedAt, boolean isChange) {
+      String backend, AdvertisedRate rate, long sentAt, long receivedAt, boolean isChange) {
     Observation observation = new Observation(backend, rate, sentAt, receivedAt);
     if (pendingObservations.size() < MAX_PENDING_OBSERVATIONS) {
       pendingObservations.add(observation);
@@ -198,7 +198,7 @@
       Observation observation =
           new Observation(
               record.getEngine(),
-              perSecond == null ? RateStatement.NONE : new RateStatement.Limited(perSecond),
+              perSecond == null ? AdvertisedRate.NONE : new AdvertisedRate.Limited(perSecond),
               now - record.getSentAgoMillis() - MAX_TRANSIT_MILLIS,
               now - record.getHeardAgoMillis());
       if (context
@@ -272,7 +272,7 @@
 
   private static RateRecord record(Observation observation, long nowMillis) {
     Double perSecond =
-        observation.rate() instanceof RateStatement.Limited limited ? limited.perSecond() : null;
+        observation.rate() instanceof AdvertisedRate.Limited limited ? limited.perSecond() : null;
     return new RateRecord(
         observation.backend(),
         perSecond,
@@ -350,7 +350,7 @@
   private static Observation observationOf(String backend, StatedRates.Statement rate) {
     return new Observation(
         backend,
-        new RateStatement.Limited(rate.perSecond()),
+        new AdvertisedRate.Limited(rate.perSecond()),
         rate.sentAtMillis(),
         rate.heardAtMillis());
   }
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/ReportReceiver.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/ReportReceiver.java
@@ -75,7 +75,7 @@
    * unknown here.
    */
   private String incarnationOf(String name) {
-    TrackedBackend tracked = backends.get().named(name);
+    TrackedBackend tracked = backends.get().resolve(name);
     return tracked == null ? name : tracked.backend().id();
   }
 
@@ -84,7 +84,7 @@
    * that node, so it counts no more than one seen here.
    */
   private void accept(AttemptOutcome outcome) {
-    TrackedBackend tracked = backends.get().named(outcome.getEngine());
+    TrackedBackend tracked = backends.get().resolve(outcome.getEngine());
     if (tracked == null) {
       return;
     }
--- a/gateway/src/main/java/org/lockdale/gateway/drain/BackendStatements.java
+++ b/gateway/src/main/java/org/lockdale/gateway/drain/BackendAnnouncements.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.atomic.AtomicLong;
 import org.lockdale.coordination.time.Time;
-import org.lockdale.gateway.backend.AnswerHead;
-import org.lockdale.gateway.backend.RestStatement;
+import org.lockdale.gateway.backend.ResponseHead;
+import org.lockdale.gateway.backend.RequestedBackoff;
 import org.lockdale.gateway.backend.TrackedBackend;
 import org.tinylog.Logger;
 
@@ -13,7 +13,7 @@
  * Processes what backends announce in their responses: that they are draining, and backoffs that
  * they request. Safe for use by several threads.
  */
-public final class BackendStatements {
+public final class BackendAnnouncements {
 
   /**
    * Least time between two log lines about unreadable values, in milliseconds, since every response
@@ -30,7 +30,7 @@
   /** Upper bound of the random extension of a backoff, in milliseconds. */
   private static final long MAX_SPREAD_MILLIS = 300;
 
-  private final Leavings leavings;
+  private final DrainingBackends drainAnnouncements;
   private final Time time;
   private final AtomicLong drainAnnouncementCount = new AtomicLong();
   private final AtomicLong withdrawalCount = new AtomicLong();
@@ -43,19 +43,19 @@
    * @param leavings the incarnations known to be draining
    * @param time clock
    */
-  public BackendStatements(Leavings leavings, Time time) {
-    this.leavings = leavings;
+  public BackendAnnouncements(DrainingBackends leavings, Time time) {
+    this.drainAnnouncements = leavings;
     this.time = time;
   }
 
   /** Processes a response of a backend to this node. May be called on any thread. */
-  public void heard(TrackedBackend backend, AnswerHead response) {
-    if (response.leaving() && leavings.recordAnnouncement(backend)) {
+  public void process(TrackedBackend backend, ResponseHead response) {
+    if (response.draining() && drainAnnouncements.recordAnnouncement(backend)) {
       drainAnnouncementCount.incrementAndGet();
     }
-    if (response.rest() instanceof RestStatement.Wanted requested) {
+    if (response.requestedBackoff() instanceof RequestedBackoff.Requested requested) {
       backOff(backend, requested.millis());
-    } else if (response.rest() instanceof RestStatement.Unreadable unreadable) {
+    } else if (response.requestedBackoff() instanceof RequestedBackoff.Unreadable unreadable) {
       logUnreadable(backend, unreadable.text());
     }
   }
@@ -67,24 +67,24 @@
    * @param sender id of the other node
    * @param incarnations the incarnations, by their text forms
    */
-  public void told(String sender, List<String> incarnations) {
-    leavings.recordNotification(sender, incarnations);
+  public void processBroadcast(String sender, List<String> incarnations) {
+    drainAnnouncements.recordNotification(sender, incarnations);
   }
 
   /**
    * Counts a request that was not sent, since its backend had announced draining, requested a
    * backoff or was found to have ended after it was chosen.
    */
-  public void withdrawn() {
+  public void countWithdrawal() {
     withdrawalCount.incrementAndGet();
   }
 
   private void backOff(TrackedBackend backend, long millis) {
     long now = time.monotonicMillis();
-    boolean wasBackingOff = backend.rest().isOn(now);
+    boolean wasBackingOff = backend.backoff().isActive(now);
     // Nodes that were all asked at the same moment must not all resume at once.
     long spread = ThreadLocalRandom.current().nextLong(millis / SPREAD_DIVISOR + 1);
-    if (backend.rest().asked(millis + Math.min(spread, MAX_SPREAD_MILLIS), now)) {
+    if (backend.backoff().extend(millis + Math.min(spread, MAX_SPREAD_MILLIS), now)) {
       backoffCount.incrementAndGet();
       Logger.info(
           "event=backend-rest backend={} millis={} again={}",
@@ -106,7 +106,7 @@
    * Returns the number of incarnations of backends that announced to this node that they are
    * draining.
    */
-  public long leavings() {
+  public long drainAnnouncements() {
     return drainAnnouncementCount.get();
   }
 
@@ -118,7 +118,7 @@
   /**
    * Returns the number of backoffs, and extensions of them, that backends requested from this node.
    */
-  public long rests() {
+  public long backoffRequests() {
     return backoffCount.get();
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/drain/Leavings.java
+++ b/gateway/src/main/java/org/lockdale/gateway/drain/DrainingBackends.java
@@ -16,7 +16,7 @@
  * they are draining. The announcement holds for the rest of the incarnation, even if its record
  * disappears for a time and returns in its former state. Safe for use by several threads.
  */
-public final class Leavings {
+public final class DrainingBackends {
 
   /**
    * Maximum number of incarnations kept; the oldest are dropped first. A release replaces a few
@@ -52,7 +52,7 @@
    *     forms
    * @param time clock
    */
-  public Leavings(Supplier<BackendTable> backends, Consumer<List<String>> notifyOthers, Time time) {
+  public DrainingBackends(Supplier<BackendTable> backends, Consumer<List<String>> notifyOthers, Time time) {
     this.backends = backends;
     this.notifyOthers = notifyOthers;
     this.time = time;
@@ -66,7 +66,7 @@
    */
   boolean recordAnnouncement(TrackedBackend backend) {
     String incarnation = backend.backend().id();
-    boolean isNew = backend.leave();
+    boolean isNew = backend.markDraining();
     if (isNew && addIfAbsent(incarnation)) {
       log(backend, "answer");
       notifyOthers.accept(List.of(incarnation));
@@ -85,7 +85,7 @@
       // A name without a start time denotes the incarnation that was present at the other node, and
       // the one present here may be a later one.
       TrackedBackend tracked = table.find(incarnation);
-      if (tracked != null && tracked.leave()) {
+      if (tracked != null && tracked.markDraining()) {
         log(tracked, sender);
       }
     }
@@ -109,15 +109,15 @@
         "event=backend-leaving backend={} source={} on-record={}",
         backend.backend().id(),
         source,
-        backend.backend().leaving());
+        backend.backend().draining());
   }
 
   /** Marks the backends of a table whose incarnations are known to be draining. */
-  public synchronized void recall(BackendTable table) {
+  public synchronized void markDraining(BackendTable table) {
     for (String incarnation : announcements.keySet()) {
       TrackedBackend tracked = table.find(incarnation);
       if (tracked != null) {
-        tracked.leave();
+        tracked.markDraining();
       }
     }
   }
@@ -134,7 +134,7 @@
               && now - announcement.receivedAtMillis >= RECORD_DELAY_MILLIS) {
             announcement.comparedWithRecord = true;
             TrackedBackend tracked = table.find(id);
-            if (tracked != null && !tracked.backend().leaving()) {
+            if (tracked != null && !tracked.backend().draining()) {
               Logger.info(
                   "event=leaving-not-on-record backend={} millis={}",
                   id,
--- a/gateway/src/main/java/org/lockdale/gateway/life/LifeEvidence.java
+++ b/gateway/src/main/java/org/lockdale/gateway/life/LifeEvidence.java
@@ -68,12 +68,12 @@
    */
   public void answered(TrackedBackend target, long connectedAtMillis, long sentAtMillis) {
     if (connectedAtMillis <= aliveByRecordAtMillis && hasRecord(target)) {
-      target.answered(sentAtMillis);
+      target.recordAlive(sentAtMillis);
     }
   }
 
   private boolean hasRecord(TrackedBackend target) {
-    return !target.isOver() && backends.get().value().find(target.backend().id()) != null;
+    return !target.hasEnded() && backends.get().value().find(target.backend().id()) != null;
   }
 
   /**
@@ -82,7 +82,7 @@
    */
   public long lastAliveAtMillis(TrackedBackend incarnation) {
     return hasRecord(incarnation)
-        ? Math.max(aliveByRecordAtMillis, incarnation.aliveAtMillis())
+        ? Math.max(aliveByRecordAtMillis, incarnation.lastKnownAliveMillis())
         : NEVER;
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/life/LifeWatch.java
+++ b/gateway/src/main/java/org/lockdale/gateway/life/LifeWatch.java
@@ -99,7 +99,7 @@
     long now = time.monotonicMillis();
     String id = target.backend().id();
     Long before = queriedAtMillis.get(id);
-    if (target.isOver() || before != null && now - before < QUERY_INTERVAL_MILLIS) {
+    if (target.hasEnded() || before != null && now - before < QUERY_INTERVAL_MILLIS) {
       return;
     }
     if (queriedAtMillis.size() >= MAX_REMEMBERED_QUERIES) {
@@ -127,7 +127,7 @@
   }
 
   private void markOver(TrackedBackend target, String evidence) {
-    if (target.end()) {
+    if (target.markEnded()) {
       String id = target.backend().id();
       Logger.info("event=life-over backend={} evidence={}", id, evidence);
       notifyOthers.accept(id);
@@ -144,7 +144,7 @@
       // An id without a start time means whichever incarnation is present, so it proves nothing
       // about this one.
       TrackedBackend tracked = table.find(incarnation);
-      if (tracked != null && tracked.end()) {
+      if (tracked != null && tracked.markEnded()) {
         Logger.info("event=life-over backend={} evidence=told", incarnation);
       }
     }
--- a/gateway/src/main/java/org/lockdale/gateway/node/BackendController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/BackendController.java
@@ -110,7 +110,7 @@
    */
   private Backend keepDraining(Backend record, BackendTable before) {
     TrackedBackend known = before.find(record.id());
-    boolean drains = known != null && known.backend().leaving() && !record.leaving();
+    boolean drains = known != null && known.backend().draining() && !record.draining();
     return drains ? known.backend() : record;
   }
 
@@ -145,15 +145,15 @@
    * otherwise wait for responses that cannot come.
    */
   private static void endIfReplaced(TrackedBackend removed, BackendTable after) {
-    if (after.named(removed.backend().incarnation().server()) != null) {
-      removed.end();
+    if (after.resolve(removed.backend().incarnation().server()) != null) {
+      removed.markEnded();
     }
   }
 
   /** Returns whether an incarnation is known to have ended although its record still exists. */
   private boolean isOver(Backend backend) {
     TrackedBackend tracked = blackboard.backends().value().find(backend.id());
-    return tracked != null && tracked.isOver();
+    return tracked != null && tracked.hasEnded();
   }
 
   private void scheduleNextPublish(long nowMillis) {
@@ -168,7 +168,7 @@
     BackendTable before = blackboard.backends().value();
     List<Backend> inUse =
         before.all().stream()
-            .filter(tracked -> !tracked.hasSaidItLeaves())
+            .filter(tracked -> !tracked.hasAnnouncedDraining())
             .map(TrackedBackend::backend)
             .toList();
     long now = time.monotonicMillis();
@@ -184,7 +184,7 @@
       blackboard.backends().publish(before, provenAtMillis);
       return;
     }
-    after.all().forEach(blackboard.rollout().value()::observe);
+    after.all().forEach(blackboard.rollout().value()::applyTo);
     blackboard.backends().publish(after, provenAtMillis);
     for (TrackedBackend removed : before.all()) {
       if (after.find(removed.backend().id()) == null) {
--- a/gateway/src/main/java/org/lockdale/gateway/node/ClusterServices.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/ClusterServices.java
@@ -171,7 +171,7 @@
         backendClient,
         TableFollowers.outageThreshold(settings),
         // Called only after start(), when all fields are set.
-        after -> incarnations.draining().recall(after),
+        after -> incarnations.draining().markDraining(after),
         time);
   }
 
@@ -283,7 +283,7 @@
             placements,
             quarantine::told,
             incarnations.monitor()::told,
-            incarnations.announcements()::told));
+            incarnations.announcements()::processBroadcast));
     quarantine.start();
     suspectCatchUp.start();
     nodes.start();
@@ -332,7 +332,7 @@
     long now = time.monotonicMillis();
     RolloutProgress progress = blackboard.rollout().value().with(move, now);
     blackboard.rollout().publish(progress, now);
-    blackboard.backends().value().all().forEach(progress::observe);
+    blackboard.backends().value().all().forEach(progress::applyTo);
   }
 
   private void expectParts(String engine, List<Long> parts) {
--- a/gateway/src/main/java/org/lockdale/gateway/node/ExpiredBackends.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/ExpiredBackends.java
@@ -91,7 +91,7 @@
     if (nowMillis < retentionEndsAtMillis()) {
       for (Backend backend : before) {
         boolean expired = !present.contains(backend.incarnation().server());
-        if (expired && !backend.leaving()) {
+        if (expired && !backend.draining()) {
           retained.put(backend.id(), backend);
         }
       }
--- a/gateway/src/main/java/org/lockdale/gateway/node/GatewayNode.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/GatewayNode.java
@@ -23,7 +23,7 @@
 import org.lockdale.gateway.usage.TrafficMeter;
 import org.lockdale.gateway.usage.UsageLog;
 import org.lockdale.gateway.weights.RolloutController;
-import org.lockdale.gateway.weights.RolloutTools;
+import org.lockdale.gateway.weights.RolloutDependencies;
 import org.lockdale.gateway.weights.WeightsPolicy;
 import org.lockdale.http.EarlyListener;
 import org.lockdale.http.HttpClient;
@@ -207,7 +207,7 @@
         blackboard.weights(),
         blackboard.backends(),
         new WeightsPolicy(settings.get(GatewaySettings.WEIGHTS_BOUND).toMillis()),
-        new RolloutTools(
+        new RolloutDependencies(
             protocols.engines(),
             cluster::announce,
             cluster::waitingTokens,
--- a/gateway/src/main/java/org/lockdale/gateway/node/IncarnationServices.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/IncarnationServices.java
@@ -4,8 +4,8 @@
 import org.lockdale.coordination.time.Time;
 import org.lockdale.gateway.blackboard.GatewayBlackboard;
 import org.lockdale.gateway.cluster.PeerNotices;
-import org.lockdale.gateway.drain.BackendStatements;
-import org.lockdale.gateway.drain.Leavings;
+import org.lockdale.gateway.drain.BackendAnnouncements;
+import org.lockdale.gateway.drain.DrainingBackends;
 import org.lockdale.gateway.life.LifeWatch;
 import org.lockdale.gateway.weights.EngineControl;
 
@@ -17,7 +17,7 @@
  * @param announcements processes announcements that a backend is draining or requests a backoff
  * @param draining remembers incarnations that are draining
  */
-record IncarnationServices(LifeWatch monitor, BackendStatements announcements, Leavings draining) {
+record IncarnationServices(LifeWatch monitor, BackendAnnouncements announcements, DrainingBackends draining) {
 
   /**
    * Creates the services.
@@ -34,12 +34,12 @@
       GatewayBlackboard blackboard,
       PeerNotices notices,
       Time time) {
-    Leavings drainingBackends =
-        new Leavings(() -> blackboard.backends().value(), notices::leaving, time);
+    DrainingBackends drainingBackends =
+        new DrainingBackends(() -> blackboard.backends().value(), notices::leaving, time);
     return new IncarnationServices(
         new LifeWatch(
             eventLoop, engines, () -> blackboard.backends().value(), notices::lifeOver, time),
-        new BackendStatements(drainingBackends, time),
+        new BackendAnnouncements(drainingBackends, time),
         drainingBackends);
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/node/MetricsHandler.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/MetricsHandler.java
@@ -4,7 +4,7 @@
 import java.util.TreeMap;
 import java.util.function.IntSupplier;
 import java.util.function.Supplier;
-import org.lockdale.gateway.drain.BackendStatements;
+import org.lockdale.gateway.drain.BackendAnnouncements;
 import org.lockdale.gateway.rate.BackendRates;
 import org.lockdale.http.HttpExchange;
 import org.lockdale.http.HttpHandler;
@@ -34,7 +34,7 @@
       Supplier<Map<String, Long>> processorMillis,
       Supplier<Map<String, Long>> trafficBytes,
       BackendRates rates,
-      BackendStatements announcements) {}
+      BackendAnnouncements announcements) {}
 
   private final Sources sources;
 
@@ -51,8 +51,8 @@
         text, "lockdale_processor_milliseconds_total", "thread", sources.processorMillis().get());
     addAll(text, "lockdale_traffic_bytes_total", "kind", sources.trafficBytes().get());
     addRates(text, sources.rates());
-    add(text, "lockdale_backend_leavings_total", sources.announcements().leavings());
-    add(text, "lockdale_backend_rests_total", sources.announcements().rests());
+    add(text, "lockdale_backend_leavings_total", sources.announcements().drainAnnouncements());
+    add(text, "lockdale_backend_rests_total", sources.announcements().backoffRequests());
     add(text, "lockdale_withdrawn_sends_total", sources.announcements().withdrawals());
     exchange.reply(HttpReply.text(OK, text.toString()));
   }
--- a/gateway/src/main/java/org/lockdale/gateway/node/OperatorController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/OperatorController.java
@@ -12,8 +12,8 @@
 import org.lockdale.gateway.table.SharedRecords;
 import org.lockdale.gateway.table.TableFollower;
 import org.lockdale.gateway.table.TableRowChange;
-import org.lockdale.gateway.weights.NamedVersion;
-import org.lockdale.gateway.weights.NamedWeights;
+import org.lockdale.gateway.weights.TargetVersion;
+import org.lockdale.gateway.weights.TargetWeights;
 import org.tinylog.Logger;
 
 /**
@@ -105,7 +105,7 @@
 
   private void publishWeights(Map<String, Long> newest) {
     long now = time.monotonicMillis();
-    NamedWeights known = blackboard.weights().value();
+    TargetWeights known = blackboard.weights().value();
     // A version that was set while this node could not read the table may be due already. Its age
     // is estimated such that it becomes due just when the bound applies to the node again, whatever
     // the bound. With a fixed age, a restarted node could serve old weights beyond the bound.
@@ -114,13 +114,13 @@
     boolean observed = lastProofMillis >= estimate;
     long notBefore = observed ? lastProofMillis : estimate;
     newest.forEach((model, version) -> logNew(known, model, version, now - notBefore, !observed));
-    NamedWeights targets =
+    TargetWeights targets =
         observed ? known.with(newest, notBefore) : known.withEstimate(newest, notBefore);
     blackboard.weights().publish(targets, notBefore);
   }
 
   private static void logNew(
-      NamedWeights known, String model, long version, long ageMillis, boolean estimated) {
+      TargetWeights known, String model, long version, long ageMillis, boolean estimated) {
     if (known.newest(model).orElse(Long.MIN_VALUE) < version) {
       Logger.info(
           "event=weights-named model={} version={} believed-age-ms={} estimated={}",
@@ -132,16 +132,16 @@
   }
 
   /** Merges the times at which other nodes observed that target versions of a model were set. */
-  void onObservedByPeers(String model, List<NamedVersion> versions) {
-    NamedWeights known = blackboard.weights().value();
-    NamedWeights merged = known.withWitnessed(model, versions);
+  void onObservedByPeers(String model, List<TargetVersion> versions) {
+    TargetWeights known = blackboard.weights().value();
+    TargetWeights merged = known.withObserved(model, versions);
     if (merged.versionsOf(model).equals(known.versionsOf(model))) {
       return;
     }
     Logger.info(
         "event=weights-ages-learned model={} versions={} ages-ms={}",
         model,
-        merged.versionsOf(model).stream().map(NamedVersion::version).toList(),
+        merged.versionsOf(model).stream().map(TargetVersion::version).toList(),
         merged.versionsOf(model).stream()
             .map(version -> time.monotonicMillis() - version.notBeforeMillis())
             .toList());
--- a/gateway/src/main/java/org/lockdale/gateway/node/TargetVersionRecorder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/TargetVersionRecorder.java
@@ -15,8 +15,8 @@
 import org.lockdale.gateway.cluster.ClusterTable;
 import org.lockdale.gateway.cluster.RecordedWeights;
 import org.lockdale.gateway.table.StoreClock;
-import org.lockdale.gateway.weights.NamedVersion;
-import org.lockdale.gateway.weights.NamedWeights;
+import org.lockdale.gateway.weights.TargetVersion;
+import org.lockdale.gateway.weights.TargetWeights;
 import org.tinylog.Logger;
 
 /**
@@ -35,7 +35,7 @@
 
   private static final long MAX_RETRY_MILLIS = 8_000;
 
-  private final Section<NamedWeights> weights;
+  private final Section<TargetWeights> weights;
   private final ClusterTable table;
   private final StoreClock clock;
   private final BooleanSupplier responsible;
@@ -60,7 +60,7 @@
    * @param time clock
    */
   TargetVersionRecorder(
-      Section<NamedWeights> weights,
+      Section<TargetWeights> weights,
       ClusterTable table,
       StoreClock clock,
       BooleanSupplier responsible,
@@ -75,15 +75,15 @@
   }
 
   /** Processes a row of the table and returns its versions with times of this node's clock. */
-  List<NamedVersion> observe(RecordedWeights row) {
+  List<TargetVersion> observe(RecordedWeights row) {
     long now = time.monotonicMillis();
     TreeMap<Long, Long> known = recordedOf(row.model());
-    List<NamedVersion> versions = new ArrayList<>();
+    List<TargetVersion> versions = new ArrayList<>();
     for (RecordedWeights.Naming naming : row.namings()) {
       known.put(naming.version(), naming.notBeforeStoreMillis());
       // A version can't have been set after it was read, whatever time the writer recorded.
       long notBefore = Math.min(now, clock.localMillis(naming.notBeforeStoreMillis()));
-      versions.add(new NamedVersion(naming.version(), notBefore, false));
+      versions.add(new TargetVersion(naming.version(), notBefore, false));
     }
     return versions;
   }
@@ -113,10 +113,10 @@
     if (!responsible.getAsBoolean() || time.monotonicMillis() < retryAtMillis) {
       return;
     }
-    NamedWeights targets = weights.value();
+    TargetWeights targets = weights.value();
     for (String model : targets.models()) {
       TreeMap<Long, Long> complete = new TreeMap<>(recordedOf(model));
-      for (NamedVersion version : targets.versionsOf(model)) {
+      for (TargetVersion version : targets.versionsOf(model)) {
         if (!version.estimated()) {
           complete.computeIfAbsent(
               version.version(), unrecorded -> clock.storeMillis(version.notBeforeMillis()));
--- a/gateway/src/main/java/org/lockdale/gateway/placement/BackendChooser.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/BackendChooser.java
@@ -13,7 +13,7 @@
 import org.lockdale.gateway.backend.BackendWork;
 import org.lockdale.gateway.backend.RemoteLoads;
 import org.lockdale.gateway.backend.TrackedBackend;
-import org.lockdale.gateway.cache.PrefixNeed;
+import org.lockdale.gateway.cache.MissingPrefix;
 
 /**
  * Chooses the backend with the lowest estimated cost. For a prompt the cost is counted in tokens:
@@ -111,7 +111,7 @@
       if (!candidate.isAmong(request.excluded())) {
         boolean isEjected = candidate.health().isEjected(nowMillis);
         (isEjected ? ejected : usable).add(candidate);
-        noneHealthy &= isEjected || request.resting().test(candidate);
+        noneHealthy &= isEjected || request.backingOff().test(candidate);
       }
     }
     List<TrackedBackend> considered = usable;
@@ -120,7 +120,7 @@
       // that is backing off has asked for it itself, so it stays excluded.
       considered.addAll(ejected);
     }
-    List<TrackedBackend> available = without(considered, request.atRate().or(request.resting()));
+    List<TrackedBackend> available = without(considered, request.atRateLimit().or(request.backingOff()));
     PromptPlacement prompt = request.prompt();
     return prompt == null
         ? cheapest(available, candidate -> promptlessCost(candidate, request.zone(), nowMillis))
@@ -194,7 +194,7 @@
     return candidate.load().work().plus(remoteLoads.at(candidate.backend().id()));
   }
 
-  private double promptCost(TrackedBackend candidate, PrefixNeed need, boolean isHome) {
+  private double promptCost(TrackedBackend candidate, MissingPrefix need, boolean isHome) {
     BackendWork work = workAt(candidate);
     double queue =
         work.waitingTokens()
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PlacementDecider.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PlacementDecider.java
@@ -15,7 +15,7 @@
 import org.lockdale.gateway.cache.CachePlanner;
 import org.lockdale.gateway.cache.CacheTransfer;
 import org.lockdale.gateway.cache.PrefixAvailability;
-import org.lockdale.gateway.cache.PrefixNeed;
+import org.lockdale.gateway.cache.MissingPrefix;
 import org.lockdale.gateway.rate.BackendRates;
 import org.lockdale.gateway.weights.WeightsPolicy;
 
@@ -76,7 +76,7 @@
   }
 
   /** Returns whether a placement at a backend counts towards a rate limit that it advertises. */
-  public boolean isCounted(TrackedBackend target) {
+  public boolean countsTowardsRateLimit(TrackedBackend target) {
     return rates.isLimited(target.backend().id());
   }
 
@@ -179,7 +179,7 @@
     }
 
     private boolean isBackingOff(TrackedBackend candidate) {
-      return forThisNode && candidate.rest().isOn(nowMillis);
+      return forThisNode && candidate.backoff().isActive(nowMillis);
     }
 
     /**
@@ -194,14 +194,14 @@
           continue;
         }
         if (isBackingOff(candidate)) {
-          backoffMillis = Math.min(backoffMillis, candidate.rest().remainingMillis(nowMillis));
+          backoffMillis = Math.min(backoffMillis, candidate.backoff().remainingMillis(nowMillis));
         } else if (isAtRateLimit(candidate)) {
           atRateLimit.add(candidate.backend().id());
         }
       }
       return atRateLimit.isEmpty() && backoffMillis == NO_BACKOFF
-          ? PlacementResult.NONE_LEFT
-          : new PlacementResult.NotNow(
+          ? PlacementResult.NO_CANDIDATE
+          : new PlacementResult.RetryLater(
               rates.comeBackMillis(query.pool(), atRateLimit, backoffMillis));
     }
 
@@ -258,7 +258,7 @@
       return held != null && due != null && held < due;
     }
 
-    private PrefixNeed needOf(TrackedBackend candidate) {
+    private MissingPrefix needOf(TrackedBackend candidate) {
       return cachePlanner.need(candidate, availabilityFor(candidate), nowMillis);
     }
 
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PlacementRequest.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PlacementRequest.java
@@ -6,7 +6,7 @@
 import java.util.function.Predicate;
 import org.jspecify.annotations.Nullable;
 import org.lockdale.gateway.backend.TrackedBackend;
-import org.lockdale.gateway.cache.PrefixNeed;
+import org.lockdale.gateway.cache.MissingPrefix;
 
 /**
  * Input of the choice of a backend: the request and the state of the candidates.
@@ -18,9 +18,9 @@
  * @param prompt the prompt, or null for a request without one
  * @param needOf estimates which of the prompt's shared parts a candidate lacks
  * @param outdated accepts candidates that may serve but hold outdated weights
- * @param atRate accepts candidates that have reached their rate limit. They keep the prefixes they
+ * @param atRateLimit accepts candidates that have reached their rate limit. They keep the prefixes they
  *     are home to, so that a temporary limit moves none
- * @param resting accepts candidates that requested a backoff from the sending node. They keep their
+ * @param backingOff accepts candidates that requested a backoff from the sending node. They keep their
  *     prefixes too
  */
 public record PlacementRequest(
@@ -29,10 +29,10 @@
     List<TrackedBackend> candidates,
     Set<String> excluded,
     @Nullable PromptPlacement prompt,
-    Function<TrackedBackend, PrefixNeed> needOf,
+    Function<TrackedBackend, MissingPrefix> needOf,
     Predicate<TrackedBackend> outdated,
-    Predicate<TrackedBackend> atRate,
-    Predicate<TrackedBackend> resting) {
+    Predicate<TrackedBackend> atRateLimit,
+    Predicate<TrackedBackend> backingOff) {
 
   /** Creates a request whose candidates all hold current weights and accept requests. */
   public PlacementRequest(
@@ -41,7 +41,7 @@
       List<TrackedBackend> candidates,
       Set<String> excluded,
       @Nullable PromptPlacement prompt,
-      Function<TrackedBackend, PrefixNeed> needOf) {
+      Function<TrackedBackend, MissingPrefix> needOf) {
     this(
         pool,
         zone,
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PlacementResult.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PlacementResult.java
@@ -6,7 +6,7 @@
 public sealed interface PlacementResult {
 
   /** No backend is left that could serve the request. */
-  PlacementResult NONE_LEFT = new NoneLeft();
+  PlacementResult NO_CANDIDATE = new NoCandidate();
 
   /**
    * A backend was chosen.
@@ -16,7 +16,7 @@
   record Placed(Placement placement) implements PlacementResult {}
 
   /** No backend is left that could serve the request. */
-  record NoneLeft() implements PlacementResult {}
+  record NoCandidate() implements PlacementResult {}
 
   /**
    * The backends that could serve the request accept none now: each has reached its advertised rate
@@ -24,7 +24,7 @@
    *
    * @param waitMillis time after which to try again, in milliseconds
    */
-  record NotNow(long waitMillis) implements PlacementResult {}
+  record RetryLater(long waitMillis) implements PlacementResult {}
 
   /** Returns the placement, or empty where no backend was chosen. */
   default Optional<Placement> placed() {
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/AttemptJournal.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/AttemptJournal.java
@@ -125,10 +125,10 @@
   private boolean isOver(String backendId, BackendTable backends, long firstReadAtMillis) {
     TrackedBackend tracked = backends.find(backendId);
     if (tracked != null) {
-      return tracked.isOver();
+      return tracked.hasEnded();
     }
     Incarnation incarnation = Incarnation.parse(backendId);
-    TrackedBackend present = backends.named(incarnation.server());
+    TrackedBackend present = backends.resolve(incarnation.server());
     if (present != null) {
       return incarnation.isBefore(present.backend().incarnation());
     }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashDetector.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashDetector.java
@@ -127,7 +127,7 @@
     if (attempt.isClosed()) {
       closedAt.putIfAbsent(attempt.backend(), nowMillis);
     }
-    TrackedBackend present = backends.named(Incarnation.parse(attempt.backend()).server());
+    TrackedBackend present = backends.resolve(Incarnation.parse(attempt.backend()).server());
     if (present == null || present.backend().id().equals(attempt.backend())) {
       return attempt;
     }
@@ -170,7 +170,7 @@
       return new BackendCrash(backend, CrashEvidence.REPLACED, List.of(attempt));
     }
     TrackedBackend tracked = backends.find(backend);
-    if (tracked == null || tracked.isLeaving()) {
+    if (tracked == null || tracked.isDraining()) {
       return null;
     }
     PendingLosses losses =
@@ -199,7 +199,7 @@
    */
   private static long givenUpWindowStart(String backend, BackendTable backends, long nowMillis) {
     TrackedBackend tracked = backends.find(backend);
-    long outlived = tracked == null ? 0 : tracked.aliveAtMillis() - OUTLIVED_MILLIS;
+    long outlived = tracked == null ? 0 : tracked.lastKnownAliveMillis() - OUTLIVED_MILLIS;
     return Math.max(nowMillis - GIVEN_UP_WINDOW_MILLIS, outlived);
   }
 
@@ -207,8 +207,8 @@
   private static boolean isReplaced(String backend, BackendTable backends) {
     TrackedBackend tracked = backends.find(backend);
     return tracked == null
-        ? backends.named(Incarnation.parse(backend).server()) != null
-        : tracked.isOver();
+        ? backends.resolve(Incarnation.parse(backend).server()) != null
+        : tracked.hasEnded();
   }
 
   /**
@@ -247,7 +247,7 @@
 
   private static boolean hasLaterIncarnation(String backend, BackendTable backends) {
     Incarnation intended = Incarnation.parse(backend);
-    TrackedBackend present = backends.named(intended.server());
+    TrackedBackend present = backends.resolve(intended.server());
     return present != null && intended.isBefore(present.backend().incarnation());
   }
 
@@ -304,7 +304,7 @@
       String backend = entry.getKey();
       PendingLosses losses = entry.getValue();
       TrackedBackend tracked = backends.find(backend);
-      if (tracked == null || tracked.isOver()) {
+      if (tracked == null || tracked.hasEnded()) {
         each.remove();
         boolean replaced =
             isReplaced(backend, backends)
@@ -329,8 +329,8 @@
    * time.
    */
   private static boolean isResolved(TrackedBackend tracked, PendingLosses losses, long nowMillis) {
-    return tracked.aliveAtMillis() > losses.latestLossMillis
-        || tracked.isLeaving()
+    return tracked.lastKnownAliveMillis() > losses.latestLossMillis
+        || tracked.isDraining()
         || nowMillis - losses.latestLossMillis > RETENTION_MILLIS;
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/Quarantine.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/Quarantine.java
@@ -357,7 +357,7 @@
           tracked == null ? Long.MIN_VALUE : livenessEvidence.lastAliveAtMillis(tracked);
       List<Suspect> forgiven = ledger.recordAlive(backend, aliveAtMillis);
       if (!forgiven.isEmpty()) {
-        boolean answered = tracked != null && tracked.aliveAtMillis() == aliveAtMillis;
+        boolean answered = tracked != null && tracked.lastKnownAliveMillis() == aliveAtMillis;
         Logger.info(
             "event=backend-lives backend={} evidence={} seen-ms-ago={}",
             backend,
--- a/gateway/src/main/java/org/lockdale/gateway/rate/BackendRates.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/BackendRates.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.lockdale.coordination.time.Time;
-import org.lockdale.gateway.backend.RateStatement;
+import org.lockdale.gateway.backend.AdvertisedRate;
 import org.tinylog.Logger;
 
 /**
@@ -31,7 +31,7 @@
      * @param isNews whether the answer changed the rate limit known to this node
      */
     void heard(
-        String backend, RateStatement rate, long sentAtMillis, long heardAtMillis, boolean isNews);
+        String backend, AdvertisedRate rate, long sentAtMillis, long heardAtMillis, boolean isNews);
   }
 
   /**
@@ -85,18 +85,18 @@
    * @param rate rate limit in the answer
    * @param sentAtMillis monotonic time at which the request was sent
    */
-  public void stated(String backend, RateStatement rate, long sentAtMillis) {
-    if (!anyKnown && rate instanceof RateStatement.None) {
+  public void stated(String backend, AdvertisedRate rate, long sentAtMillis) {
+    if (!anyKnown && rate instanceof AdvertisedRate.None) {
       return;
     }
-    if (rate instanceof RateStatement.Unreadable unreadable) {
+    if (rate instanceof AdvertisedRate.Unreadable unreadable) {
       Logger.info("event=rate-unreadable backend={} value=\"{}\"", backend, unreadable.text());
       return;
     }
     long now = time.monotonicMillis();
     // Also notified for some time after a limit ended: a relay that did not receive the first
     // answer without one would keep it.
-    boolean notifies = rate instanceof RateStatement.Limited || isKnown(backend);
+    boolean notifies = rate instanceof AdvertisedRate.Limited || isKnown(backend);
     boolean isNews = record(backend, rate, sentAtMillis, now, "answer");
     if (notifies) {
       listener.heard(backend, rate, sentAtMillis, now, isNews);
@@ -114,12 +114,12 @@
    * @return whether the answer changed the rate limit known to this node
    */
   public boolean told(
-      String sender, String backend, RateStatement rate, long sentAtMillis, long heardAtMillis) {
+      String sender, String backend, AdvertisedRate rate, long sentAtMillis, long heardAtMillis) {
     return record(backend, rate, sentAtMillis, heardAtMillis, sender);
   }
 
   private synchronized boolean record(
-      String backend, RateStatement rate, long sentAtMillis, long receivedAtMillis, String source) {
+      String backend, AdvertisedRate rate, long sentAtMillis, long receivedAtMillis, String source) {
     StatedRates.Change change = advertised.record(backend, rate, sentAtMillis, receivedAtMillis);
     anyKnown = !advertised.isEmpty();
     switch (change) {
--- a/gateway/src/main/java/org/lockdale/gateway/rate/StatedRates.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/StatedRates.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 import java.util.Set;
-import org.lockdale.gateway.backend.RateStatement;
+import org.lockdale.gateway.backend.AdvertisedRate;
 
 /**
  * The rate limits that backends advertise in their answers. Answers arrive out of order, so an
@@ -71,13 +71,13 @@
    * @param sentAtMillis monotonic time at which the request was sent
    * @param heardAtMillis monotonic time at which the first part of the answer was received
    */
-  public Change record(String backend, RateStatement rate, long sentAtMillis, long heardAtMillis) {
-    boolean limited = rate instanceof RateStatement.Limited;
-    boolean readable = limited || rate instanceof RateStatement.None;
+  public Change record(String backend, AdvertisedRate rate, long sentAtMillis, long heardAtMillis) {
+    boolean limited = rate instanceof AdvertisedRate.Limited;
+    boolean readable = limited || rate instanceof AdvertisedRate.None;
     if (!readable || !limited && !latest.containsKey(backend)) {
       return Change.NONE;
     }
-    double perSecond = rate instanceof RateStatement.Limited limit ? limit.perSecond() : NO_LIMIT;
+    double perSecond = rate instanceof AdvertisedRate.Limited limit ? limit.perSecond() : NO_LIMIT;
     double before = rateOf(backend);
     add(backend, new Statement(perSecond, sentAtMillis, heardAtMillis));
     double after = rateOf(backend);
--- a/gateway/src/main/java/org/lockdale/gateway/request/Attempt.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/Attempt.java
@@ -6,13 +6,13 @@
 import java.util.function.BiConsumer;
 import org.jspecify.annotations.Nullable;
 import org.lockdale.coordination.time.Time;
-import org.lockdale.gateway.backend.AnswerHead;
+import org.lockdale.gateway.backend.ResponseHead;
 import org.lockdale.gateway.backend.AttemptPlan;
 import org.lockdale.gateway.backend.BackendLoad;
 import org.lockdale.gateway.backend.BackendProtocol;
 import org.lockdale.gateway.backend.TrackedBackend;
 import org.lockdale.gateway.configuration.RouteKind;
-import org.lockdale.gateway.drain.BackendStatements;
+import org.lockdale.gateway.drain.BackendAnnouncements;
 import org.lockdale.gateway.life.LifeEvidence;
 import org.lockdale.gateway.quarantine.LostAttempt;
 import org.lockdale.gateway.rate.BackendRates;
@@ -37,7 +37,7 @@
   private final AttemptPlan plan;
   private final BackendProtocol protocol;
   private final BackendRates rates;
-  private final BackendStatements announcements;
+  private final BackendAnnouncements announcements;
   private final LifeEvidence liveness;
   private final Time time;
   private final Runnable onFirstEvent;
@@ -45,7 +45,7 @@
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private final BackendLoad.Share share;
   private @Nullable HttpCall call;
-  private @Nullable AnswerHead head;
+  private @Nullable ResponseHead head;
   private @Nullable StreamForwarder forwarder;
   private long lastReceivedAtMillis;
   private long sentAtMillis;
@@ -63,7 +63,7 @@
       AttemptPlan plan,
       BackendProtocol protocol,
       BackendRates rates,
-      BackendStatements announcements,
+      BackendAnnouncements announcements,
       LifeEvidence liveness,
       Time time,
       Runnable onFirstEvent,
@@ -92,7 +92,7 @@
     sentAtMillis = time.steadyMillis();
     sentAtMonotonicMillis = time.monotonicMillis();
     lastReceivedAtMillis = sentAtMillis;
-    target.whenOver(onIncarnationEnd);
+    target.addEndListener(onIncarnationEnd);
     rates.sent(target.backend().id());
     call =
         client.send(
@@ -192,7 +192,7 @@
 
   /** Returns the complete failure answer of the backend, or null if there is none. */
   @Nullable HttpReply backendFailureReply() {
-    AnswerHead received = head;
+    ResponseHead received = head;
     return received == null ? null : new HttpReply(received.status(), received.headers(), bytes());
   }
 
@@ -206,7 +206,7 @@
    */
   @Override
   public boolean maySend() {
-    withdrawn = !target.isServing() || target.rest().isOn(time.monotonicMillis());
+    withdrawn = !target.isServing() || target.backoff().isActive(time.monotonicMillis());
     return !withdrawn;
   }
 
@@ -218,7 +218,7 @@
   @Override
   public void onHead(int status, HttpHeaders headers) {
     recordReceived();
-    AnswerHead received = protocol.read(status, headers);
+    ResponseHead received = protocol.read(status, headers);
     head = received;
     String model = state.request.model();
     if (model != null && received.weights() != null) {
@@ -226,8 +226,8 @@
     }
     if (!received.misdirected()) {
       liveness.answered(target, connectedAtMillis(), sentAtMonotonicMillis);
-      rates.stated(target.backend().id(), received.rate(), sentAtMonotonicMillis);
-      announcements.heard(target, received);
+      rates.stated(target.backend().id(), received.advertisedRate(), sentAtMonotonicMillis);
+      announcements.process(target, received);
     }
     if (received.misdirected()) {
       finish(AttemptResult.MISDIRECTED, "it is not the intended incarnation or has other weights");
@@ -235,7 +235,7 @@
       finish(AttemptResult.NOT_RUN, "it accepts no requests now");
     } else if (received.isSuccess() && !received.authentic()) {
       abandon(AttemptResult.FAILED, "its answer has no proof of origin");
-    } else if (received.isSuccess() && received.events()) {
+    } else if (received.isSuccess() && received.eventStream()) {
       forwarder = new StreamForwarder(state, received, time);
     }
   }
@@ -287,13 +287,13 @@
     if (ended) {
       return;
     }
-    AnswerHead received = head;
+    ResponseHead received = head;
     if (received == null) {
       finish(AttemptResult.FAILED, "it sent no answer");
     } else if (forwarder != null) {
       forwarder.end();
       finish(AttemptResult.COMPLETE, "");
-    } else if (received.promisesNotRun()) {
+    } else if (received.impliesNotRun()) {
       // Callers take this status as a guarantee that the request was not run, which only the
       // backend itself may give.
       head = null;
@@ -350,7 +350,7 @@
   }
 
   private void release() {
-    target.forget(onIncarnationEnd);
+    target.removeEndListener(onIncarnationEnd);
     share.end();
     if (forwarder != null) {
       forwarder.close();
--- a/gateway/src/main/java/org/lockdale/gateway/request/AttemptReporter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/AttemptReporter.java
@@ -52,7 +52,7 @@
     }
     switch (result) {
       case COMPLETE -> health.succeeded();
-      case WITHDRAWN -> path.announcements().withdrawn();
+      case WITHDRAWN -> path.announcements().countWithdrawal();
       case NOT_SENT -> health.unreachable(now);
       case NOT_RUN, MISDIRECTED -> health.rejected(now);
       default -> {
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestExecution.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestExecution.java
@@ -92,7 +92,7 @@
     if (ended) {
       return;
     }
-    if (result instanceof PlacementResult.NotNow notNow) {
+    if (result instanceof PlacementResult.RetryLater notNow) {
       waitOrRefuse(notNow.waitMillis());
       return;
     }
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestPath.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestPath.java
@@ -16,7 +16,7 @@
 import org.lockdale.gateway.caller.MalformedRequestException;
 import org.lockdale.gateway.configuration.GatewayConfiguration;
 import org.lockdale.gateway.configuration.Pool;
-import org.lockdale.gateway.drain.BackendStatements;
+import org.lockdale.gateway.drain.BackendAnnouncements;
 import org.lockdale.gateway.life.LifeEvidence;
 import org.lockdale.gateway.life.LifeWatch;
 import org.lockdale.gateway.limit.RetryBudget;
@@ -56,7 +56,7 @@
   private final Quarantine quarantine;
   private final LifeWatch incarnations;
   private final BackendRates rates;
-  private final BackendStatements announcements;
+  private final BackendAnnouncements announcements;
   private final String zone;
   private final AttemptObserver observer;
   private final IntSupplier nodes;
@@ -103,7 +103,7 @@
       Quarantine quarantine,
       LifeWatch incarnations,
       BackendRates rates,
-      BackendStatements announcements,
+      BackendAnnouncements announcements,
       String zone,
       AttemptObserver observer,
       Time time) {
@@ -245,7 +245,7 @@
     return rates;
   }
 
-  BackendStatements announcements() {
+  BackendAnnouncements announcements() {
     return announcements;
   }
 
@@ -255,7 +255,7 @@
    */
   boolean hasUntriedBackend(RequestState state) {
     return blackboard.backends().value().ofPool(state.pool).stream()
-        .filter(tracked -> tracked.isServing() && !tracked.rest().isOn(nowMillis()))
+        .filter(tracked -> tracked.isServing() && !tracked.backoff().isActive(nowMillis()))
         .anyMatch(tracked -> !state.triedBackends.contains(tracked.backend().id()));
   }
 
@@ -290,7 +290,7 @@
     long now = nowMillis();
     return blackboard.backends().value().ofPool(pool).stream()
         .filter(TrackedBackend::isServing)
-        .mapToLong(tracked -> tracked.rest().remainingMillis(now))
+        .mapToLong(tracked -> tracked.backoff().remainingMillis(now))
         .min()
         .orElse(0);
   }
--- a/gateway/src/main/java/org/lockdale/gateway/request/StreamForwarder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/StreamForwarder.java
@@ -2,7 +2,7 @@
 
 import io.netty.buffer.ByteBuf;
 import org.lockdale.coordination.time.Time;
-import org.lockdale.gateway.backend.AnswerHead;
+import org.lockdale.gateway.backend.ResponseHead;
 import org.lockdale.http.ServerSentEventDecoder;
 
 /**
@@ -16,13 +16,13 @@
   private static final long MAX_QUEUED_BYTES = 1024 * 1024;
 
   private final RequestState state;
-  private final AnswerHead head;
+  private final ResponseHead head;
   private final Time time;
   private final ServerSentEventDecoder decoder = new ServerSentEventDecoder(this::onEvent);
   private final long resumedAfter;
   private boolean begun;
 
-  StreamForwarder(RequestState state, AnswerHead head, Time time) {
+  StreamForwarder(RequestState state, ResponseHead head, Time time) {
     this.state = state;
     this.time = time;
     this.head = head;
--- a/gateway/src/main/java/org/lockdale/gateway/weights/EngineUpdate.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/EngineUpdate.java
@@ -42,7 +42,7 @@
   private static final long TIMEOUT_MILLIS = 6_000;
 
   private final EventLoop eventLoop;
-  private final RolloutTools tools;
+  private final RolloutDependencies tools;
   private final WeightsPolicy.Move move;
   private final Lease lease;
   private final String nodeId;
@@ -54,7 +54,7 @@
 
   EngineUpdate(
       EventLoop eventLoop,
-      RolloutTools tools,
+      RolloutDependencies tools,
       WeightsPolicy.Move move,
       Lease lease,
       String nodeId,
--- a/gateway/src/main/java/org/lockdale/gateway/weights/RolloutController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/RolloutController.java
@@ -58,10 +58,10 @@
   private static final int STAGGER_TICKS = 5;
 
   private final EventLoop eventLoop;
-  private final Section<NamedWeights> weights;
+  private final Section<TargetWeights> weights;
   private final Section<BackendTable> backends;
   private final WeightsPolicy policy;
-  private final RolloutTools tools;
+  private final RolloutDependencies tools;
   private final LeaseStore store;
   private final Lease lease;
   private final String nodeId;
@@ -92,10 +92,10 @@
    */
   public RolloutController(
       EventLoop eventLoop,
-      Section<NamedWeights> weights,
+      Section<TargetWeights> weights,
       Section<BackendTable> backends,
       WeightsPolicy policy,
-      RolloutTools tools,
+      RolloutDependencies tools,
       LeaseStore store,
       String nodeId,
       long guardMillis,
--- a/gateway/src/main/java/org/lockdale/gateway/weights/RolloutTools.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/RolloutDependencies.java
@@ -13,7 +13,7 @@
  *     responses have not begun
  * @param onReplaced called with an engine at whose address another incarnation responds
  */
-public record RolloutTools(
+public record RolloutDependencies(
     EngineControl control,
     Consumer<EngineMove> announcer,
     ToLongFunction<TrackedBackend> waitingTokens,
--- a/gateway/src/main/java/org/lockdale/gateway/weights/RolloutProgress.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/RolloutProgress.java
@@ -55,7 +55,7 @@
   }
 
   /** Applies the weights that an engine was announced to hold to the state known about it. */
-  public void observe(TrackedBackend engine) {
+  public void applyTo(TrackedBackend engine) {
     Announcement announcement = byEngine.get(engine.backend().id());
     if (announcement != null && !announcement.move().moving()) {
       engine.observeWeights(announcement.move().model(), announcement.move().version());
--- a/gateway/src/main/java/org/lockdale/gateway/weights/NamedVersion.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/TargetVersion.java
@@ -9,4 +9,4 @@
  * @param estimated whether no node is known to have observed that the version had not been set
  *     before
  */
-public record NamedVersion(long version, long notBeforeMillis, boolean estimated) {}
+public record TargetVersion(long version, long notBeforeMillis, boolean estimated) {}
--- a/gateway/src/main/java/org/lockdale/gateway/weights/NamedWeights.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/TargetWeights.java
@@ -9,17 +9,17 @@
 import java.util.TreeMap;
 
 /** Target versions of the weights of each model, as set by operators, oldest first. Immutable. */
-public final class NamedWeights {
+public final class TargetWeights {
 
   /** No target versions. */
-  public static final NamedWeights NONE = new NamedWeights(Map.of());
+  public static final TargetWeights NONE = new TargetWeights(Map.of());
 
   /** Maximum number of versions kept for a model. Older ones have long been due. */
   private static final int MAX_VERSIONS = 16;
 
-  private final Map<String, List<NamedVersion>> byModel;
+  private final Map<String, List<TargetVersion>> byModel;
 
-  private NamedWeights(Map<String, List<NamedVersion>> byModel) {
+  private TargetWeights(Map<String, List<TargetVersion>> byModel) {
     this.byModel = byModel;
   }
 
@@ -30,7 +30,7 @@
    * @param notBeforeMillis monotonic time in milliseconds before which a version unknown so far
    *     can't have been set
    */
-  public NamedWeights with(Map<String, Long> newest, long notBeforeMillis) {
+  public TargetWeights with(Map<String, Long> newest, long notBeforeMillis) {
     return with(newest, notBeforeMillis, false);
   }
 
@@ -42,32 +42,32 @@
    * @param countsFromMillis monotonic time in milliseconds from which the age of a version unknown
    *     so far is measured
    */
-  public NamedWeights withEstimate(Map<String, Long> newest, long countsFromMillis) {
+  public TargetWeights withEstimate(Map<String, Long> newest, long countsFromMillis) {
     return with(newest, countsFromMillis, true);
   }
 
-  private NamedWeights with(Map<String, Long> newest, long notBeforeMillis, boolean estimated) {
-    NamedWeights merged = this;
+  private TargetWeights with(Map<String, Long> newest, long notBeforeMillis, boolean estimated) {
+    TargetWeights merged = this;
     for (Map.Entry<String, Long> entry : newest.entrySet()) {
       long version = entry.getValue();
       if (newest(entry.getKey()).orElse(Long.MIN_VALUE) < version) {
-        merged = merged.plus(entry.getKey(), new NamedVersion(version, notBeforeMillis, estimated));
+        merged = merged.plus(entry.getKey(), new TargetVersion(version, notBeforeMillis, estimated));
       }
     }
     return merged;
   }
 
-  private NamedWeights plus(String model, NamedVersion target) {
-    List<NamedVersion> versions = new ArrayList<>(versionsOf(model));
+  private TargetWeights plus(String model, TargetVersion target) {
+    List<TargetVersion> versions = new ArrayList<>(versionsOf(model));
     versions.add(target);
     return replacing(model, versions);
   }
 
-  private NamedWeights replacing(String model, List<NamedVersion> versions) {
+  private TargetWeights replacing(String model, List<TargetVersion> versions) {
     int excess = Math.max(0, versions.size() - MAX_VERSIONS);
-    Map<String, List<NamedVersion>> merged = new HashMap<>(byModel);
+    Map<String, List<TargetVersion>> merged = new HashMap<>(byModel);
     merged.put(model, List.copyOf(versions.subList(excess, versions.size())));
-    return new NamedWeights(Map.copyOf(merged));
+    return new TargetWeights(Map.copyOf(merged));
   }
 
   /**
@@ -79,16 +79,16 @@
    * @param model name of the model
    * @param observed versions observed by other nodes
    */
-  public NamedWeights withWitnessed(String model, List<NamedVersion> observed) {
-    TreeMap<Long, NamedVersion> versions = new TreeMap<>();
+  public TargetWeights withObserved(String model, List<TargetVersion> observed) {
+    TreeMap<Long, TargetVersion> versions = new TreeMap<>();
     observed.forEach(target -> versions.put(target.version(), target));
-    for (NamedVersion known : versionsOf(model)) {
+    for (TargetVersion known : versionsOf(model)) {
       if (known.estimated()) {
         long unobserved = known.version();
         while (versions.containsKey(unobserved) && !versions.get(unobserved).estimated()) {
           unobserved--;
         }
-        versions.put(unobserved, new NamedVersion(unobserved, known.notBeforeMillis(), true));
+        versions.put(unobserved, new TargetVersion(unobserved, known.notBeforeMillis(), true));
       } else {
         versions.put(known.version(), known);
       }
@@ -102,13 +102,13 @@
   }
 
   /** Returns all versions of a model, oldest first; empty where there are none. */
-  public List<NamedVersion> versionsOf(String model) {
+  public List<TargetVersion> versionsOf(String model) {
     return byModel.getOrDefault(model, List.of());
   }
 
   /** Returns the newest version of a model, or empty where there is none. */
   public OptionalLong newest(String model) {
-    List<NamedVersion> versions = versionsOf(model);
+    List<TargetVersion> versions = versionsOf(model);
     return versions.isEmpty()
         ? OptionalLong.empty()
         : OptionalLong.of(versions.get(versions.size() - 1).version());
@@ -125,7 +125,7 @@
   public OptionalLong newestOfMinAge(String model, long ageMillis, long nowMillis) {
     return versionsOf(model).stream()
         .filter(target -> nowMillis - target.notBeforeMillis() >= ageMillis)
-        .mapToLong(NamedVersion::version)
+        .mapToLong(TargetVersion::version)
         .max();
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/weights/WeightsPolicy.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/WeightsPolicy.java
@@ -56,7 +56,7 @@
   public record Move(TrackedBackend engine, String model, long version) {}
 
   /** Returns the oldest version that may serve a model now, or null where any may. */
-  public @Nullable Long requiredVersion(NamedWeights weights, String model, long nowMillis) {
+  public @Nullable Long requiredVersion(TargetWeights weights, String model, long nowMillis) {
     OptionalLong required =
         weights.newestOfMinAge(model, boundMillis - QUEUE_MARGIN_MILLIS, nowMillis);
     return required.isPresent() ? required.getAsLong() : null;
@@ -66,7 +66,7 @@
    * Returns the newest version that responses should be based on by now, or null where there is
    * none.
    */
-  public @Nullable Long dueVersion(NamedWeights weights, String model, long nowMillis) {
+  public @Nullable Long dueVersion(TargetWeights weights, String model, long nowMillis) {
     OptionalLong due = weights.newestOfMinAge(model, DUE_MILLIS, nowMillis);
     return due.isPresent() ? due.getAsLong() : null;
   }
@@ -80,7 +80,7 @@
    * Returns the moves of the engines that do not hold the newest weights. Engines with the oldest
    * weights come first, and among them the least loaded.
    */
-  public static List<Move> moves(NamedWeights weights, BackendTable backends) {
+  public static List<Move> moves(TargetWeights weights, BackendTable backends) {
     List<Move> moves = new ArrayList<>();
     for (TrackedBackend engine : backends.all()) {
       for (String model : engine.backend().weights().keySet()) {
@@ -107,10 +107,10 @@
    * @param moves moves to make, at least one
    * @param parallel number of moves made at once, at least 1
    */
-  public long plannedStart(NamedWeights weights, List<Move> moves, int parallel) {
+  public long plannedStart(TargetWeights weights, List<Move> moves, int parallel) {
     long newest = Long.MIN_VALUE / 2;
     for (Move move : moves) {
-      for (NamedVersion target : weights.versionsOf(move.model())) {
+      for (TargetVersion target : weights.versionsOf(move.model())) {
         newest = Math.max(newest, target.notBeforeMillis());
       }
     }
@@ -125,11 +125,11 @@
    * @param moves moves to make, at least one
    * @param parallel number of moves made at once, at least 1
    */
-  public long latestStart(NamedWeights weights, List<Move> moves, int parallel) {
+  public long latestStart(TargetWeights weights, List<Move> moves, int parallel) {
     long earliest = Long.MAX_VALUE;
     for (Move move : moves) {
       Long held = move.engine().weightsOf(move.model());
-      for (NamedVersion target : weights.versionsOf(move.model())) {
+      for (TargetVersion target : weights.versionsOf(move.model())) {
         if (held == null || target.version() > held) {
           earliest = Math.min(earliest, target.notBeforeMillis());
         }
--- a/gateway/src/test/java/org/lockdale/gateway/backend/BackendRestTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/backend/BackendRestTest.java
@@ -10,32 +10,32 @@
 /** Checks the backoff that a backend requests from this node. */
 public final class BackendRestTest {
 
-  private BackendRest backoff;
+  private BackendBackoff backoff;
 
   @BeforeMethod
   public void start() {
-    backoff = new BackendRest();
+    backoff = new BackendBackoff();
   }
 
   @Test
   public void aShorterBackoffDoesNotEndALongerOne() {
-    assertTrue(backoff.asked(3_000, 0));
-    assertFalse(backoff.asked(500, 100));
-    assertTrue(backoff.isOn(2_999));
-    assertFalse(backoff.isOn(3_000));
+    assertTrue(backoff.extend(3_000, 0));
+    assertFalse(backoff.extend(500, 100));
+    assertTrue(backoff.isActive(2_999));
+    assertFalse(backoff.isActive(3_000));
   }
 
   @Test
   public void aBackoffThatEndsLaterReplacesAnEarlierOne() {
-    backoff.asked(3_000, 0);
-    assertTrue(backoff.asked(3_000, 1_000));
+    backoff.extend(3_000, 0);
+    assertTrue(backoff.extend(3_000, 1_000));
     assertEquals(backoff.remainingMillis(3_000), 1_000);
     assertEquals(backoff.remainingMillis(9_000), 0);
   }
 
   @Test
   public void withoutARequestThereIsNoBackoff() {
-    assertFalse(new BackendRest().isOn(0));
-    assertEquals(new BackendRest().remainingMillis(Long.MAX_VALUE / 2), 0);
+    assertFalse(new BackendBackoff().isActive(0));
+    assertEquals(new BackendBackoff().remainingMillis(Long.MAX_VALUE / 2), 0);
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/backend/BackendTableTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/backend/BackendTableTest.java
@@ -22,16 +22,16 @@
   @Test
   public void aBackoffRequestedByTheNextIncarnationBeforeItsRecordWasReadIsKept() {
     BackendTable former = BackendTable.EMPTY.with(List.of(incarnation("i-1@1")));
-    former.find("i-1@1").rest().asked(3_000, 0);
+    former.find("i-1@1").backoff().extend(3_000, 0);
     BackendTable next = former.with(List.of(incarnation("i-1@2")));
-    assertTrue(next.find("i-1@2").rest().isOn(2_999));
-    assertFalse(next.find("i-1@2").rest().isOn(3_000));
+    assertTrue(next.find("i-1@2").backoff().isActive(2_999));
+    assertFalse(next.find("i-1@2").backoff().isActive(3_000));
   }
 
   @Test
   public void theNextIncarnationOfADrainedServerIsNotDraining() {
     BackendTable former = BackendTable.EMPTY.with(List.of(incarnation("i-1@1")));
-    former.find("i-1@1").leave();
+    former.find("i-1@1").markDraining();
     assertTrue(former.with(List.of(incarnation("i-1@2"))).find("i-1@2").isServing());
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/backend/IncarnationTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/backend/IncarnationTest.java
@@ -57,9 +57,9 @@
   public void aNameWithoutAStartTimeDenotesThePresentIncarnation() {
     BackendTable table = BackendTable.EMPTY.with(List.of(backend("i-1@2")));
     TrackedBackend present = table.find("i-1@2");
-    assertSame(table.named("i-1"), present);
-    assertSame(table.named("i-1@2"), present);
-    assertNull(table.named("i-1@1"), "a former incarnation");
+    assertSame(table.resolve("i-1"), present);
+    assertSame(table.resolve("i-1@2"), present);
+    assertNull(table.resolve("i-1@1"), "a former incarnation");
     assertTrue(present.isAmong(Set.of("i-1")));
     assertFalse(present.isAmong(Set.of("i-1@1")));
   }
--- a/gateway/src/test/java/org/lockdale/gateway/cache/CachePlannerTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cache/CachePlannerTest.java
@@ -151,7 +151,7 @@
     await(() -> holds(storeHeld(), "1", parts[parts.length - 1]));
   }
 
-  private PrefixNeed need(TrackedBackend engine, long now) {
+  private MissingPrefix need(TrackedBackend engine, long now) {
     return planner.need(engine, planner.locate(engines, "1", PARTS, now), now);
   }
 
@@ -187,7 +187,7 @@
   @Test
   public void aPartWithoutThePrecedingOnesIsNotUsed() {
     storeKeeps("deep");
-    assertEquals(need(other, 0), new PrefixNeed(0, 0, 3_000));
+    assertEquals(need(other, 0), new MissingPrefix(0, 0, 3_000));
     assertEquals(
         plan("1", 0),
         new CacheTransfer(STORE, null),
@@ -197,9 +197,9 @@
   @Test
   public void partsOfAnotherNamespaceAreNotUsed() {
     storeKeeps("root", "deep");
-    assertEquals(need(other, 0), new PrefixNeed(3_000, 0, 0));
+    assertEquals(need(other, 0), new MissingPrefix(3_000, 0, 0));
     PrefixAvailability availability = planner.locate(engines, "2", PARTS, 0);
-    assertEquals(planner.need(other, availability, 0), new PrefixNeed(0, 0, 3_000));
+    assertEquals(planner.need(other, availability, 0), new MissingPrefix(0, 0, 3_000));
     assertEquals(
         plan("2", 0),
         new CacheTransfer(STORE, STORE),
@@ -213,14 +213,14 @@
     holders.addEvent(other.backend().address(), true, "1", "deep");
     await(() -> holds(directory.engine("other"), "1", "deep"));
     assertEquals(plan("1", 0).source(), other.backend().address());
-    assertEquals(need(other, 0), new PrefixNeed(0, 0, 0));
+    assertEquals(need(other, 0), new MissingPrefix(0, 0, 0));
   }
 
   @Test
   public void aPartIsSavedOnceAndExpectedWhereItIsComputed() {
     assertEquals(plan("1", 0), new CacheTransfer(STORE, STORE));
     assertEquals(plan("1", 100), new CacheTransfer(STORE, null));
-    assertEquals(need(target, 100), new PrefixNeed(0, 0, 0));
+    assertEquals(need(target, 100), new MissingPrefix(0, 0, 0));
     assertEquals(
         plan("1", 10_000), new CacheTransfer(STORE, STORE), "the expectation was never confirmed");
   }
@@ -246,13 +246,13 @@
 
   @Test
   public void partsThatOneEngineComputesWouldBeComputedTwiceElsewhere() {
-    assertEquals(need(other, 0), new PrefixNeed(0, 0, 3_000));
+    assertEquals(need(other, 0), new MissingPrefix(0, 0, 3_000));
     plan("1", 0);
     assertEquals(announcedEngines, List.of("target"));
-    assertEquals(need(other, 1), new PrefixNeed(0, 3_000, 0));
+    assertEquals(need(other, 1), new MissingPrefix(0, 3_000, 0));
     holders.addEvent(target.backend().address(), true, "1", "root");
     await(() -> directory.engine("target").isConfirmed(HeldParts.keyOf("1", "root")));
-    assertEquals(need(other, 2), new PrefixNeed(1_000, 2_000, 0));
+    assertEquals(need(other, 2), new MissingPrefix(1_000, 2_000, 0));
     plan("1", 3);
     assertEquals(announcedEngines, List.of("target"), "the parts are announced once");
   }
--- a/gateway/src/test/java/org/lockdale/gateway/cache/SilentHolders.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cache/UnresponsiveHolders.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** Holders of cached prompts that never respond. */
-public final class SilentHolders implements CacheEventSource {
+public final class UnresponsiveHolders implements CacheEventSource {
 
   @Override
   public CompletableFuture<CacheEventPage> changes(
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/FleetPlacementTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/FleetPlacementTest.java
@@ -16,7 +16,7 @@
 import org.lockdale.gateway.backend.Backend;
 import org.lockdale.gateway.backend.BackendLoad;
 import org.lockdale.gateway.backend.TrackedBackend;
-import org.lockdale.gateway.cache.PrefixNeed;
+import org.lockdale.gateway.cache.MissingPrefix;
 import org.lockdale.gateway.caller.PromptPart;
 import org.lockdale.gateway.placement.BackendChooser;
 import org.lockdale.gateway.placement.PlacementRequest;
@@ -131,10 +131,10 @@
       time.schedule(LINK_MICROS, () -> send(sender, number, engine, prompt, runMicros));
     }
 
-    private PrefixNeed needOf(TrackedBackend engine, PromptPlacement prompt) {
+    private MissingPrefix needOf(TrackedBackend engine, PromptPlacement prompt) {
       boolean holds =
           cachedKeys.getOrDefault(engine.backend().id(), Set.of()).contains(prompt.affinityKey());
-      return new PrefixNeed(holds ? 0 : prompt.sharedTokens(), 0, 0);
+      return new MissingPrefix(holds ? 0 : prompt.sharedTokens(), 0, 0);
     }
 
     private void send(
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/PlacementClientTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/PlacementClientTest.java
@@ -24,7 +24,7 @@
 import org.lockdale.gateway.blackboard.GatewayBlackboard;
 import org.lockdale.gateway.cache.CacheDirectory;
 import org.lockdale.gateway.cache.CachePlanner;
-import org.lockdale.gateway.cache.SilentHolders;
+import org.lockdale.gateway.cache.UnresponsiveHolders;
 import org.lockdale.gateway.placement.BackendChooser;
 import org.lockdale.gateway.placement.Placement;
 import org.lockdale.gateway.placement.PlacementDecider;
@@ -32,7 +32,7 @@
 import org.lockdale.gateway.placement.PlacementResult;
 import org.lockdale.gateway.rate.BackendRates;
 import org.lockdale.gateway.usage.TrafficMeter;
-import org.lockdale.gateway.weights.NamedWeights;
+import org.lockdale.gateway.weights.TargetWeights;
 import org.lockdale.gateway.weights.WeightsPolicy;
 import org.lockdale.http.LoopbackPorts;
 import org.lockdale.protocol.generated.PlacementAnswer;
@@ -120,7 +120,7 @@
     blackboard.backends().publish(backends(), 0);
     CacheDirectory directory =
         new CacheDirectory(
-            loop, new SilentHolders(), () -> blackboard.backends().value(), List::of);
+            loop, new UnresponsiveHolders(), () -> blackboard.backends().value(), List::of);
     PlacementDecider decider =
         new PlacementDecider(
             blackboard,
@@ -177,7 +177,7 @@
 
   private void setNewTargetVersion(long ageMillis) {
     long setAtMillis = SystemTime.instance().monotonicMillis() - ageMillis;
-    NamedWeights named = NamedWeights.NONE.with(Map.of(MODEL, NEW_WEIGHTS), setAtMillis);
+    TargetWeights named = TargetWeights.NONE.with(Map.of(MODEL, NEW_WEIGHTS), setAtMillis);
     blackboard.weights().publish(named, setAtMillis);
   }
 
@@ -233,7 +233,7 @@
   @Test
   public void aDrainingChoiceOfARelayThatDoesNotKnowIsRejected() throws Exception {
     addRelay("senior", true);
-    blackboard.backends().value().find("i-1").leave();
+    blackboard.backends().value().find("i-1").markDraining();
     Placement placement = place();
     assertEquals(placement.target().backend().id(), "i-2");
     assertNull(placement.origin());
@@ -244,7 +244,7 @@
   public void aChoiceThatRequestedBackoffFromThisNodeIsRejected() throws Exception {
     addRelay("senior", true);
     long now = SystemTime.instance().monotonicMillis();
-    blackboard.backends().value().find("i-1").rest().asked(WEIGHTS_BOUND_MILLIS, now);
+    blackboard.backends().value().find("i-1").backoff().extend(WEIGHTS_BOUND_MILLIS, now);
     assertEquals(place().target().backend().id(), "i-2");
     assertEquals(excluded, List.of("i-1"));
   }
@@ -253,10 +253,10 @@
   public void ifAllBackendsRequestedBackoffTheWaitIsThatOfTheFirst() throws Exception {
     addRelay("senior", true);
     long now = SystemTime.instance().monotonicMillis();
-    blackboard.backends().value().find("i-1").rest().asked(2 * WEIGHTS_BOUND_MILLIS, now);
-    blackboard.backends().value().find("i-2").rest().asked(3_000, now);
+    blackboard.backends().value().find("i-1").backoff().extend(2 * WEIGHTS_BOUND_MILLIS, now);
+    blackboard.backends().value().find("i-2").backoff().extend(3_000, now);
     PlacementResult result = client.place(QUERY).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-    long wait = ((PlacementResult.NotNow) result).waitMillis();
+    long wait = ((PlacementResult.RetryLater) result).waitMillis();
     assertTrue(wait > 0 && wait <= 3_000, wait + " ms");
   }
 
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/RateLimitedBackend.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/RateLimitedBackend.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.lockdale.gateway.backend.RateStatement;
+import org.lockdale.gateway.backend.AdvertisedRate;
 
 /**
  * A simulated backend that advertises rates and checks whether the requests that it receives exceed
@@ -61,8 +61,8 @@
     return periods.get(periods.size() - 1).perSecond();
   }
 
-  RateStatement advertisedRate() {
-    return Double.isInfinite(rate()) ? RateStatement.NONE : new RateStatement.Limited(rate());
+  AdvertisedRate advertisedRate() {
+    return Double.isInfinite(rate()) ? AdvertisedRate.NONE : new AdvertisedRate.Limited(rate());
   }
 
   void onRequest(String node, long now) {
@@ -71,8 +71,8 @@
   }
 
   /** Records that a node has received a response. */
-  void onAnswerReceived(String node, RateStatement received, long now) {
-    if (received instanceof RateStatement.Limited) {
+  void onAnswerReceived(String node, AdvertisedRate received, long now) {
+    if (received instanceof AdvertisedRate.Limited) {
       rateReceivedAt.putIfAbsent(node, now);
     }
   }
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/RateSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/RateSimulation.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import org.lockdale.coordination.simulation.VirtualTime;
 import org.lockdale.coordination.time.Time;
-import org.lockdale.gateway.backend.RateStatement;
+import org.lockdale.gateway.backend.AdvertisedRate;
 import org.lockdale.gateway.quarantine.VirtualExecutor;
 import org.lockdale.gateway.rate.BackendRates;
 import org.lockdale.protocol.Message;
@@ -310,7 +310,7 @@
             time.schedule(
                 random.nextInt(SERVICE_MICROS),
                 () -> {
-                  RateStatement rate = backend.advertisedRate();
+                  AdvertisedRate rate = backend.advertisedRate();
                   time.schedule(
                       LINK_MICROS + random.nextInt(JITTER_MICROS),
                       () ->
@@ -321,7 +321,7 @@
     }
 
     private void onResponse(
-        RateLimitedBackend backend, String target, RateStatement rate, long sentAt) {
+        RateLimitedBackend backend, String target, AdvertisedRate rate, long sentAt) {
       if (!isEarlierVersion) {
         if (backend.id().equals(target)) {
           backend.onAnswerReceived(id, rate, time.monotonicMillis());
--- a/gateway/src/test/java/org/lockdale/gateway/drain/LeavingsTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/drain/LeavingsTest.java
@@ -23,13 +23,13 @@
 
   private final List<String> notified = new ArrayList<>();
   private BackendTable table;
-  private Leavings draining;
+  private DrainingBackends draining;
 
   @BeforeMethod
   public void start() {
     notified.clear();
     table = tableOf("i-1@1", "i-2@1");
-    draining = new Leavings(() -> table, notified::addAll, new VirtualTime());
+    draining = new DrainingBackends(() -> table, notified::addAll, new VirtualTime());
   }
 
   private static BackendTable tableOf(String... incarnations) {
@@ -50,7 +50,7 @@
   @Test
   public void aNodeThatWasNotifiedDoesNotNotifyOthers() {
     draining.recordNotification("node-2", List.of("i-1@1"));
-    assertTrue(table.find("i-1@1").isLeaving());
+    assertTrue(table.find("i-1@1").isDraining());
     assertFalse(draining.recordAnnouncement(table.find("i-1@1")));
     assertEquals(notified, List.of());
   }
@@ -59,7 +59,7 @@
   public void aRecordThatReturnsAsReadyIsStillDraining() {
     draining.recordAnnouncement(table.find("i-1@1"));
     BackendTable back = tableOf("i-1@1", "i-2@1");
-    draining.recall(back);
+    draining.markDraining(back);
     assertFalse(back.find("i-1@1").isServing());
     assertTrue(back.find("i-2@1").isServing());
   }
@@ -68,7 +68,7 @@
   public void theNextIncarnationOfADrainedServerServes() {
     draining.recordAnnouncement(table.find("i-1@1"));
     BackendTable next = tableOf("i-1@2");
-    draining.recall(next);
+    draining.markDraining(next);
     assertTrue(next.find("i-1@2").isServing());
   }
 
@@ -76,8 +76,8 @@
   public void anIncarnationReadAfterTheNotificationIsDraining() {
     draining.recordNotification("node-2", List.of("i-3@1"));
     BackendTable later = tableOf("i-3@1");
-    draining.recall(later);
-    assertTrue(later.find("i-3@1").isLeaving());
+    draining.markDraining(later);
+    assertTrue(later.find("i-3@1").isDraining());
   }
 
   @Test
--- a/gateway/src/test/java/org/lockdale/gateway/life/IncarnationMonitorTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationMonitorTest.java
@@ -84,7 +84,7 @@
   @Test
   public void aRejectionThatOnlyRequiredTheInstanceShowsThatItIsOver() {
     misdirected(null);
-    assertTrue(target.isOver());
+    assertTrue(target.hasEnded());
     assertEquals(notified, List.of("i-1@7"));
     misdirected(null);
     assertEquals(notified.size(), 1, "all nodes are notified once");
@@ -93,9 +93,9 @@
   @Test
   public void whereWeightsWereRequiredTheStateOfTheEngineDecides() {
     misdirected(5L);
-    assertFalse(target.isOver(), "the weights may be the reason");
+    assertFalse(target.hasEnded(), "the weights may be the reason");
     answers(stateOf(8L, 5));
-    assertTrue(target.isOver());
+    assertTrue(target.hasEnded());
     assertEquals(notified, List.of("i-1@7"));
   }
 
@@ -104,7 +104,7 @@
     misdirected(5L);
     state.completeExceptionally(new ReplacedEngineException("i-1@7"));
     time.runMillis(1);
-    assertTrue(target.isOver());
+    assertTrue(target.hasEnded());
   }
 
   @Test
@@ -112,7 +112,7 @@
     target.observeWeights(MODEL, 6);
     misdirected(6L);
     answers(stateOf(7L, 4));
-    assertFalse(target.isOver());
+    assertFalse(target.hasEnded());
     assertEquals(target.weightsOf(MODEL), Long.valueOf(4));
     target.observeWeights(MODEL, 6);
     assertEquals(target.weightsOf(MODEL), Long.valueOf(6));
@@ -123,7 +123,7 @@
     misdirected(5L);
     state.completeExceptionally(new IllegalStateException("no answer"));
     time.runMillis(1);
-    assertFalse(target.isOver());
+    assertFalse(target.hasEnded());
   }
 
   @Test
@@ -140,9 +140,9 @@
   @Test
   public void whatOtherNodesFoundOutHoldsForThatLifeOnly() {
     monitor.told(List.of("i-1@6", "i-1", "i-2@7"));
-    assertFalse(target.isOver());
+    assertFalse(target.hasEnded());
     monitor.told(List.of("i-1@7"));
-    assertTrue(target.isOver());
+    assertTrue(target.hasEnded());
     assertEquals(notified, List.of(), "the node that detected it has notified all");
   }
 
@@ -154,7 +154,7 @@
     table =
         table.with(
             List.of(new Backend("i-1@7", "pool", other, "zone", 4, false, Map.of(MODEL, 5L))));
-    assertFalse(table.find("i-1@7").isOver());
+    assertFalse(table.find("i-1@7").hasEnded());
   }
 
   @Test
@@ -162,11 +162,11 @@
     List<String> waiting = new ArrayList<>();
     Runnable action = () -> waiting.add("over");
     Runnable removed = () -> waiting.add("removed");
-    target.whenOver(action);
-    target.whenOver(removed);
-    target.forget(removed);
+    target.addEndListener(action);
+    target.addEndListener(removed);
+    target.removeEndListener(removed);
     misdirected(null);
-    target.end();
+    target.markEnded();
     assertEquals(waiting, List.of("over"));
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulation.java
@@ -141,7 +141,7 @@
                 List.copyOf(rows.values()),
                 known -> {
                   TrackedBackend tracked = before.find(known.id());
-                  return tracked != null && tracked.isOver();
+                  return tracked != null && tracked.hasEnded();
                 },
                 time.monotonicMillis());
         table = before.with(current);
@@ -153,8 +153,8 @@
     /** Counts the returns to an earlier incarnation, which a late write must not cause. */
     private void countReturns(BackendTable before) {
       for (Engine engine : engines) {
-        TrackedBackend known = before.named(engine.id);
-        TrackedBackend now = table.named(engine.id);
+        TrackedBackend known = before.resolve(engine.id);
+        TrackedBackend now = table.resolve(engine.id);
         boolean wasServing =
             known != null
                 && engine.up
@@ -172,8 +172,8 @@
      * that it holds.
      */
     void send(Engine engine) {
-      TrackedBackend target = table.named(engine.id);
-      if (target == null || target.isOver()) {
+      TrackedBackend target = table.resolve(engine.id);
+      if (target == null || target.hasEnded()) {
         return;
       }
       sends++;
@@ -312,10 +312,10 @@
     int workLeft = 0;
     for (Node node : nodes) {
       for (Engine engine : engines) {
-        TrackedBackend known = node.table.named(engine.id);
+        TrackedBackend known = node.table.resolve(engine.id);
         boolean right = known != null && known.backend().incarnation().equals(engine.incarnation());
         wrong += right ? 0 : 1;
-        wronglyOver += right && known.isOver() ? 1 : 0;
+        wronglyOver += right && known.hasEnded() ? 1 : 0;
         workLeft += right && !known.load().work().isNone() ? 1 : 0;
       }
     }
--- a/gateway/src/test/java/org/lockdale/gateway/life/LivenessEvidenceTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/LivenessEvidenceTest.java
@@ -48,7 +48,7 @@
 
   private boolean isShownByAnswer(long connectedAtMillis, long sentAtMillis) {
     evidence.answered(target, connectedAtMillis, sentAtMillis);
-    return target.aliveAtMillis() == sentAtMillis;
+    return target.lastKnownAliveMillis() == sentAtMillis;
   }
 
   @Test
@@ -88,7 +88,7 @@
   @Test
   public void nothingIsShownOfALifeThatIsOverOrWhoseRecordIsGone() {
     publishCurrentRecords(START_MILLIS, START_MILLIS + 20_000);
-    target.end();
+    target.markEnded();
     assertTrue(!isShownByAnswer(START_MILLIS, START_MILLIS + 20_000));
     assertTrue(evidence.lastAliveAtMillis(target) < 0);
     backends.publish(BackendTable.EMPTY, START_MILLIS + 20_000);
--- a/gateway/src/test/java/org/lockdale/gateway/node/SuspensionTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/node/SuspensionTest.java
@@ -15,7 +15,7 @@
 import org.lockdale.coordination.time.SystemTime;
 import org.lockdale.gateway.cluster.RelayElection;
 import org.lockdale.gateway.table.StoreClock;
-import org.lockdale.gateway.weights.NamedWeights;
+import org.lockdale.gateway.weights.TargetWeights;
 import org.lockdale.gateway.weights.WeightsPolicy;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -86,7 +86,7 @@
 
   @Test
   public void targetVersionsSetBeforeTheSuspensionAreRequired() {
-    NamedWeights targets = NamedWeights.NONE.with(Map.of(MODEL, 2L), time.monotonicMillis());
+    TargetWeights targets = TargetWeights.NONE.with(Map.of(MODEL, 2L), time.monotonicMillis());
     WeightsPolicy policy = new WeightsPolicy(SUSPENDED_MILLIS);
     assertNull(policy.requiredVersion(targets, MODEL, time.monotonicMillis()));
     assertEquals(policy.requiredVersion(targets, MODEL, wake()), Long.valueOf(2));
--- a/gateway/src/test/java/org/lockdale/gateway/node/TargetVersionRecorderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/node/TargetVersionRecorderTest.java
@@ -15,7 +15,7 @@
 import org.lockdale.gateway.cluster.EmptyClusterTable;
 import org.lockdale.gateway.cluster.RecordedWeights;
 import org.lockdale.gateway.table.StoreClock;
-import org.lockdale.gateway.weights.NamedWeights;
+import org.lockdale.gateway.weights.TargetWeights;
 import org.lockdale.gateway.weights.WeightsPolicy;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -53,7 +53,7 @@
   /** A node with a separate clock. */
   private final class Node implements Time {
     private final long offset;
-    private final Section<NamedWeights> weights = new Section<>(NamedWeights.NONE);
+    private final Section<TargetWeights> weights = new Section<>(TargetWeights.NONE);
     private final StoreClock clock = new StoreClock();
     private final TargetVersionRecorder recorder;
     private boolean responsible = true;
@@ -70,7 +70,7 @@
       storeMillis = store;
     }
 
-    void publish(NamedWeights targets) {
+    void publish(TargetWeights targets) {
       weights.publish(targets, monotonicMillis());
     }
 
@@ -95,19 +95,19 @@
     observer = new Node(0);
     late = new Node(CLOCK_OFFSET);
     observer.at(2_000);
-    observer.publish(NamedWeights.NONE.with(Map.of(MODEL, 2L), 2_000));
+    observer.publish(TargetWeights.NONE.with(Map.of(MODEL, 2L), 2_000));
   }
 
   private void readRecordOnLateNode() {
     RecordedWeights row = table.written.get(table.written.size() - 1);
-    late.publish(late.weights.value().withWitnessed(MODEL, late.recorder.observe(row)));
+    late.publish(late.weights.value().withObserved(MODEL, late.recorder.observe(row)));
   }
 
   @Test
   public void aNodeThatStartsLaterAgreesWithTheObserver() {
     observer.recorder.tick();
     late.at(12_000);
-    late.publish(NamedWeights.NONE.withEstimate(Map.of(MODEL, 2L), late.monotonicMillis()));
+    late.publish(TargetWeights.NONE.withEstimate(Map.of(MODEL, 2L), late.monotonicMillis()));
     assertNull(late.required(), "from the estimate alone");
     readRecordOnLateNode();
     assertEquals(late.required(), Long.valueOf(2));
@@ -119,7 +119,7 @@
     observer.publish(observer.weights.value().with(Map.of(MODEL, 3L), 6_000));
     observer.recorder.tick();
     late.at(12_500);
-    late.publish(NamedWeights.NONE.withEstimate(Map.of(MODEL, 3L), late.monotonicMillis() - BOUND));
+    late.publish(TargetWeights.NONE.withEstimate(Map.of(MODEL, 3L), late.monotonicMillis() - BOUND));
     assertEquals(late.required(), Long.valueOf(3), "from the estimate alone");
     readRecordOnLateNode();
     assertEquals(late.required(), Long.valueOf(2), "the newest is only 6.5 s old");
@@ -151,7 +151,7 @@
 
   @Test
   public void aTimeObservedByThisNodeTakesPrecedence() {
-    late.publish(NamedWeights.NONE.with(Map.of(MODEL, 2L), CLOCK_OFFSET + 1_500));
+    late.publish(TargetWeights.NONE.with(Map.of(MODEL, 2L), CLOCK_OFFSET + 1_500));
     observer.recorder.tick();
     late.at(1_500 + BOUND - 600);
     readRecordOnLateNode();
@@ -161,10 +161,10 @@
   @Test
   public void aRecordedTimeInTheFutureIsLimitedToNow() {
     late.at(5_000);
-    late.publish(NamedWeights.NONE.withEstimate(Map.of(MODEL, 2L), late.monotonicMillis()));
+    late.publish(TargetWeights.NONE.withEstimate(Map.of(MODEL, 2L), late.monotonicMillis()));
     RecordedWeights row =
         new RecordedWeights(MODEL, List.of(new RecordedWeights.Naming(2, 900_000)));
-    late.publish(late.weights.value().withWitnessed(MODEL, late.recorder.observe(row)));
+    late.publish(late.weights.value().withObserved(MODEL, late.recorder.observe(row)));
     late.at(5_000 + BOUND);
     assertEquals(late.required(), Long.valueOf(2));
   }
@@ -184,7 +184,7 @@
   public void onlyTheResponsibleNodeWritesAndNoEstimates() {
     observer.responsible = false;
     observer.recorder.tick();
-    late.publish(NamedWeights.NONE.withEstimate(Map.of(MODEL, 2L), 0));
+    late.publish(TargetWeights.NONE.withEstimate(Map.of(MODEL, 2L), 0));
     late.recorder.tick();
     assertEquals(table.written.size(), 0);
   }
@@ -209,12 +209,12 @@
    */
   @Test
   public void aRecordOfTheNewestVersionDoesNotMakeOlderOnesAppearNewer() {
-    observer.publish(NamedWeights.NONE.withEstimate(Map.of(MODEL, 2L), 2_000 - BOUND));
+    observer.publish(TargetWeights.NONE.withEstimate(Map.of(MODEL, 2L), 2_000 - BOUND));
     observer.at(7_000);
     observer.publish(observer.weights.value().with(Map.of(MODEL, 3L), 6_900));
     observer.recorder.tick();
     late.at(13_000);
-    late.publish(NamedWeights.NONE.withEstimate(Map.of(MODEL, 3L), late.monotonicMillis() - BOUND));
+    late.publish(TargetWeights.NONE.withEstimate(Map.of(MODEL, 3L), late.monotonicMillis() - BOUND));
     assertEquals(late.required(), Long.valueOf(3), "from the estimate alone");
     readRecordOnLateNode();
     Long required = late.required();
--- a/gateway/src/test/java/org/lockdale/gateway/placement/BackendChooserTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/placement/BackendChooserTest.java
@@ -22,7 +22,7 @@
 import org.lockdale.gateway.backend.BackendLoad;
 import org.lockdale.gateway.backend.BackendWork;
 import org.lockdale.gateway.backend.TrackedBackend;
-import org.lockdale.gateway.cache.PrefixNeed;
+import org.lockdale.gateway.cache.MissingPrefix;
 import org.lockdale.gateway.caller.PromptPart;
 import org.testng.annotations.Test;
 
@@ -63,8 +63,8 @@
     return place(engines, Set.of(), prompt, 0).orElseThrow();
   }
 
-  private static PrefixNeed newPrefix(PromptPlacement prompt) {
-    return new PrefixNeed(0, 0, prompt == null ? 0 : prompt.sharedTokens());
+  private static MissingPrefix newPrefix(PromptPlacement prompt) {
+    return new MissingPrefix(0, 0, prompt == null ? 0 : prompt.sharedTokens());
   }
 
   private static Optional<TrackedBackend> place(
@@ -110,7 +110,7 @@
                     engines,
                     Set.of(),
                     prompt,
-                    engine -> new PrefixNeed(0, 0, engine == holder ? 0 : 5_000)),
+                    engine -> new MissingPrefix(0, 0, engine == holder ? 0 : 5_000)),
                 0)
             .orElseThrow();
     assertEquals(chosen, holder);
--- a/gateway/src/test/java/org/lockdale/gateway/placement/PlacementDeciderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/placement/PlacementDeciderTest.java
@@ -27,11 +27,11 @@
 import org.lockdale.gateway.cache.CacheNamespace;
 import org.lockdale.gateway.cache.CachePlanner;
 import org.lockdale.gateway.cache.HeldParts;
-import org.lockdale.gateway.cache.SilentHolders;
+import org.lockdale.gateway.cache.UnresponsiveHolders;
 import org.lockdale.gateway.caller.PromptPart;
 import org.lockdale.gateway.rate.BackendRates;
 import org.lockdale.gateway.weights.EngineMove;
-import org.lockdale.gateway.weights.NamedWeights;
+import org.lockdale.gateway.weights.TargetWeights;
 import org.lockdale.gateway.weights.WeightsPolicy;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
@@ -81,7 +81,7 @@
       publishTargetVersions();
       CacheDirectory directory =
           new CacheDirectory(
-              eventLoop, new SilentHolders(), () -> blackboard.backends().value(), List::of);
+              eventLoop, new UnresponsiveHolders(), () -> blackboard.backends().value(), List::of);
       decider =
           new PlacementDecider(
               blackboard,
@@ -119,7 +119,7 @@
     }
 
     private void publishTargetVersions() {
-      NamedWeights weights = NamedWeights.NONE;
+      TargetWeights weights = TargetWeights.NONE;
       for (long version = 2; version <= 1 + random.nextInt(3); version++) {
         weights = weights.with(Map.of(MODEL, version), NOW - random.nextInt(20_000));
       }
@@ -142,7 +142,7 @@
       Long required =
           new WeightsPolicy(BOUND).requiredVersion(blackboard.weights().value(), MODEL, NOW);
       return backend.pool().equals(POOL)
-          && !backend.leaving()
+          && !backend.draining()
           && !excluded.contains(backend.id())
           && !moving.contains(backend.id())
           && (required == null || backend.weights().get(MODEL) >= required);
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/CrashDetectorTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/CrashDetectorTest.java
@@ -92,7 +92,7 @@
   @Test
   public void aBackendThatAnswersALaterAttemptHasNotCrashed() {
     lose("r1", 100);
-    table.find("i-1").answered(101);
+    table.find("i-1").recordAlive(101);
     assertTrue(detector.checkRecords(table, 350).isEmpty());
     assertFalse(detector.hasUnresolved());
   }
@@ -101,7 +101,7 @@
   @Test
   public void anAnswerToAnEarlierAttemptDoesNotRuleOutACrash() {
     lose("r1", 100);
-    table.find("i-1").answered(100);
+    table.find("i-1").recordAlive(100);
     detector.checkRecords(table, 350);
     assertTrue(detector.isUnresolved("i-1"));
   }
@@ -145,7 +145,7 @@
   @Test
   public void aLostAttemptOnADrainingServerShowsNoCrash() {
     lose("r1", 0);
-    table.find("i-1").leave();
+    table.find("i-1").markDraining();
     lose("r2", 10);
     assertTrue(detector.checkRecords(table, 250).isEmpty());
     assertFalse(detector.hasUnresolved());
@@ -169,7 +169,7 @@
     table = BackendTable.EMPTY.with(List.of(backend("i-1@1", ADDRESS, false)));
     detector.recordLoss(lostAt("i-1@1", "r1"), table, 0);
     BackendTable after = table.with(List.of(backend("i-1@2", ADDRESS, false)));
-    after.find("i-1@2").answered(100);
+    after.find("i-1@2").recordAlive(100);
     assertEquals(detector.checkRecords(after, 250).get(0).evidence(), CrashEvidence.REPLACED);
   }
 
@@ -186,7 +186,7 @@
   @Test
   public void anotherInstanceThatAnswersShowsTheCrashBeforeTheRecordDoes() {
     lose("r1", 0);
-    table.find("i-1").end();
+    table.find("i-1").markEnded();
     assertEquals(detector.checkRecords(table, 250).get(0).evidence(), CrashEvidence.REPLACED);
     assertEquals(lose("r2", 300).lost().get(0).request().id(), "r2");
   }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/CrashWatchTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/CrashWatchTest.java
@@ -157,7 +157,7 @@
     answers.add(Reachability.REFUSES);
     watch.attemptLost(lost("left", LostAttempt.Loss.GIVEN_UP));
     time.runMillis(1_500);
-    table.find("i-1@1").answered(time.monotonicMillis());
+    table.find("i-1@1").recordAlive(time.monotonicMillis());
     watch.attemptLost(lost("neighbour", LostAttempt.Loss.CLOSED));
     time.runMillis(100);
     assertEquals(closed, List.of("neighbour"));
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulation.java
@@ -394,7 +394,7 @@
     private Optional<Backend> choose() {
       List<Backend> known =
           servers.all().stream()
-              .filter(tracked -> !tracked.isOver())
+              .filter(tracked -> !tracked.hasEnded())
               .map(TrackedBackend::backend)
               .toList();
       long now = time.monotonicMillis();
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineTest.java
@@ -130,7 +130,7 @@
   @Test
   public void crashesOfBackendsThatAnswerAgainAreRetracted() {
     loseAtThree(LostAttempt.Loss.CLOSED);
-    backends.find(idOf(1)).answered(time.monotonicMillis() + 1);
+    backends.find(idOf(1)).recordAlive(time.monotonicMillis() + 1);
     time.runMillis(500);
     assertFalse(isQuarantined());
   }
--- a/gateway/src/test/java/org/lockdale/gateway/rate/AdvertisedRatesTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/rate/AdvertisedRatesTest.java
@@ -5,7 +5,7 @@
 
 import java.util.OptionalDouble;
 import java.util.Set;
-import org.lockdale.gateway.backend.RateStatement;
+import org.lockdale.gateway.backend.AdvertisedRate;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
@@ -22,11 +22,11 @@
   }
 
   private StatedRates.Change recordRate(double perSecond, long sentAt, long receivedAt) {
-    return rates.record(ID, new RateStatement.Limited(perSecond), sentAt, receivedAt);
+    return rates.record(ID, new AdvertisedRate.Limited(perSecond), sentAt, receivedAt);
   }
 
   private StatedRates.Change recordNone(long sentAt, long receivedAt) {
-    return rates.record(ID, RateStatement.NONE, sentAt, receivedAt);
+    return rates.record(ID, AdvertisedRate.NONE, sentAt, receivedAt);
   }
 
   @Test
@@ -83,9 +83,9 @@
   @Test
   public void whatCannotBeReadLeavesTheLastRate() {
     assertEquals(
-        rates.record(ID, new RateStatement.Unreadable("many"), 0, 10), StatedRates.Change.NONE);
+        rates.record(ID, new AdvertisedRate.Unreadable("many"), 0, 10), StatedRates.Change.NONE);
     recordRate(4, 20, 30);
-    rates.record(ID, new RateStatement.Unreadable("many"), 40, 50);
+    rates.record(ID, new AdvertisedRate.Unreadable("many"), 40, 50);
     assertEquals(rates.perSecond(ID), OptionalDouble.of(4));
   }
 
@@ -104,6 +104,6 @@
 
   @Test(expectedExceptions = IllegalArgumentException.class)
   public void aRateIsANumber() {
-    new RateStatement.Limited(Double.NaN);
+    new AdvertisedRate.Limited(Double.NaN);
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/weights/EngineUpdateTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/weights/EngineUpdateTest.java
@@ -89,12 +89,12 @@
   private CompletableFuture<Boolean> start() {
     Lease lease = new Lease("node", LEASE_MILLIS, 0);
     lease.written(new LeaseReading(new LeaseRow("node", LEASE_MILLIS), 1, 0), 0);
-    RolloutTools tools =
-        new RolloutTools(
+    RolloutDependencies tools =
+        new RolloutDependencies(
             control,
             move -> progress = progress.with(move, nowMillis),
             tracked -> tracked.load().waitingTokens(),
-            replaced -> replaced.end());
+            replaced -> replaced.markEnded());
     CompletableFuture<Boolean> done =
         new EngineUpdate(
                 channel.eventLoop(),
@@ -198,6 +198,6 @@
     step();
     assertFalse(done.join());
     assertFalse(control.ordered);
-    assertTrue(engine.isOver());
+    assertTrue(engine.hasEnded());
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/weights/WeightsPolicyTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/weights/WeightsPolicyTest.java
@@ -37,7 +37,7 @@
   @Test
   public void oldWeightsMayServeUntilShortlyBeforeTheBound() {
     WeightsPolicy policy = new WeightsPolicy(BOUND);
-    NamedWeights weights = NamedWeights.NONE.with(Map.of(MODEL, 2L), 1_000);
+    TargetWeights weights = TargetWeights.NONE.with(Map.of(MODEL, 2L), 1_000);
     assertNull(policy.requiredVersion(weights, MODEL, 1_000));
     assertNull(policy.requiredVersion(weights, MODEL, 1_000 + BOUND - 1_000));
     assertEquals(policy.requiredVersion(weights, MODEL, 1_000 + BOUND), Long.valueOf(2));
@@ -46,15 +46,15 @@
   @Test
   public void theAgeOfEachVersionIsMeasuredFromItsOwnTime() {
     WeightsPolicy policy = new WeightsPolicy(BOUND);
-    NamedWeights weights =
-        NamedWeights.NONE.with(Map.of(MODEL, 2L), 0).with(Map.of(MODEL, 3L), 5_000);
+    TargetWeights weights =
+        TargetWeights.NONE.with(Map.of(MODEL, 2L), 0).with(Map.of(MODEL, 3L), 5_000);
     assertEquals(policy.requiredVersion(weights, MODEL, BOUND), Long.valueOf(2));
     assertEquals(policy.requiredVersion(weights, MODEL, 5_000 + BOUND), Long.valueOf(3));
   }
 
   @Test
   public void enginesMoveStraightToTheNewestAndTheOldestFirst() {
-    NamedWeights weights = NamedWeights.NONE.with(Map.of(MODEL, 5L), 0);
+    TargetWeights weights = TargetWeights.NONE.with(Map.of(MODEL, 5L), 0);
     List<WeightsPolicy.Move> moves =
         WeightsPolicy.moves(
             weights,
@@ -71,7 +71,7 @@
 
   @Test
   public void aVersionReportedInAResponseCountsAsMuchAsTheRecord() {
-    NamedWeights weights = NamedWeights.NONE.with(Map.of(MODEL, 2L), 0);
+    TargetWeights weights = TargetWeights.NONE.with(Map.of(MODEL, 2L), 0);
     BackendTable table = table(engine("i", 1, false));
     table.all().iterator().next().observeWeights(MODEL, 2);
     assertTrue(WeightsPolicy.moves(weights, table).isEmpty());
@@ -83,10 +83,10 @@
   public void aRolloutStartsOnceNoNewerVersionFollows() {
     WeightsPolicy policy = new WeightsPolicy(BOUND);
     BackendTable engines = table(engine("a", 1, false));
-    NamedWeights weights = NamedWeights.NONE.with(Map.of(MODEL, 2L), 1_000);
+    TargetWeights weights = TargetWeights.NONE.with(Map.of(MODEL, 2L), 1_000);
     long first = policy.plannedStart(weights, WeightsPolicy.moves(weights, engines), 1);
     assertTrue(first > 1_000 && first < 2_000, "soon after it was set");
-    NamedWeights newer = weights.with(Map.of(MODEL, 3L), 1_500);
+    TargetWeights newer = weights.with(Map.of(MODEL, 3L), 1_500);
     long second = policy.plannedStart(newer, WeightsPolicy.moves(newer, engines), 1);
     assertEquals(second, first + 500);
   }
@@ -95,7 +95,7 @@
   public void versionsThatFollowEachOtherDelayARolloutNoLongerThanTheBoundAllows() {
     WeightsPolicy policy = new WeightsPolicy(BOUND);
     BackendTable engines = table(engine("a", 1, false));
-    NamedWeights weights = NamedWeights.NONE;
+    TargetWeights weights = TargetWeights.NONE;
     for (int version = 2; version < 30; version++) {
       weights = weights.with(Map.of(MODEL, (long) version), version * 500L);
     }
@@ -106,7 +106,7 @@
   @Test
   public void moreRoundsMeanAnEarlierStart() {
     WeightsPolicy policy = new WeightsPolicy(BOUND);
-    NamedWeights weights = NamedWeights.NONE.with(Map.of(MODEL, 2L), 0);
+    TargetWeights weights = TargetWeights.NONE.with(Map.of(MODEL, 2L), 0);
     List<WeightsPolicy.Move> one = WeightsPolicy.moves(weights, table(engine("a", 1, false)));
     List<WeightsPolicy.Move> three =
         WeightsPolicy.moves(
