--- a/gateway/src/main/java/org/lockdale/gateway/cluster/LimitClient.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/LimitClient.java
@@ -15,7 +15,7 @@
 import org.lockdale.gateway.configuration.TenantLimit;
 import org.lockdale.gateway.limit.Admission;
 import org.lockdale.gateway.limit.Allowance;
-import org.lockdale.gateway.limit.Deciders;
+import org.lockdale.gateway.limit.LimitRelaySelector;
 import org.lockdale.gateway.limit.LimitBound;
 import org.lockdale.gateway.limit.ReturnedAmounts;
 import org.lockdale.gateway.limit.ShareLender;
@@ -132,7 +132,7 @@
   }
 
   private List<String> limitRelays() {
-    return Deciders.inOrder(context.limitRelays().get(), this::shareOf);
+    return LimitRelaySelector.inOrder(context.limitRelays().get(), this::shareOf);
   }
 
   private double shareOf(String relay) {
@@ -234,7 +234,7 @@
 
   private void conclude(PendingQuestion question, OptionalLong retryAfter) {
     if (retryAfter.isPresent()) {
-      question.result().complete(new Admission.Beyond(retryAfter.getAsLong()));
+      question.result().complete(new Admission.Denied(retryAfter.getAsLong()));
       return;
     }
     Allowance allowance = Allowance.of(question.limit(), context.bound());
@@ -243,7 +243,7 @@
   }
 
   @Override
-  public void giveBack(Admission.Granted granted) {
+  public void refund(Admission.Granted granted) {
     context
         .eventLoop()
         .execute(() -> returnedAmounts.add(granted, context.time().monotonicMillis()));
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/LimitResponder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/LimitResponder.java
@@ -70,7 +70,7 @@
     Map<String, TenantLimit> limits = inForce.tenantLimits();
     Map<String, Allowance> allowances = new HashMap<>();
     limits.forEach((tenant, limit) -> allowances.put(tenant, Allowance.of(limit, bound)));
-    buckets.limit(allowances, nowMillis());
+    buckets.setAllowances(allowances, nowMillis());
     Logger.info("event=limits-in-force version={} tenants={}", limitsVersion, limits.size());
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/LoanSender.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/LoanSender.java
@@ -98,7 +98,7 @@
   }
 
   private ShareLoan loan(ShareLender.Heartbeat heartbeat, int nodes) {
-    return new ShareLoan(heartbeat.life(), heartbeat.sentAtMillis(), 1.0 / nodes, reserve);
+    return new ShareLoan(heartbeat.incarnation(), heartbeat.sentAtMillis(), 1.0 / nodes, reserve);
   }
 
   /**
@@ -111,11 +111,11 @@
       return;
     }
     long sentAt = loan.get().sentAtMillis();
-    ShareRecall recall = new ShareRecall(loan.get().life(), sentAt, reserve);
+    ShareRecall recall = new ShareRecall(loan.get().incarnation(), sentAt, reserve);
     Relay former = borrowingRelay;
     if (loan.get().relay().equals(context.selfId())) {
       context.borrower().release(context.selfId(), recall);
-      lender.released(context.selfId(), loan.get().life(), sentAt, nowMillis);
+      lender.released(context.selfId(), loan.get().incarnation(), sentAt, nowMillis);
     } else if (former != null) {
       context.sender().accept(former.address(), recall);
     }
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/RateExchange.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/RateExchange.java
@@ -24,7 +24,7 @@
 import org.lockdale.gateway.backend.AdvertisedRate;
 import org.lockdale.gateway.limit.ShareLender;
 import org.lockdale.gateway.rate.BackendRates;
-import org.lockdale.gateway.rate.StatedRates;
+import org.lockdale.gateway.rate.AdvertisedRates;
 import org.lockdale.protocol.Message;
 import org.lockdale.protocol.generated.RateRecord;
 import org.lockdale.protocol.generated.RateReport;
@@ -138,7 +138,7 @@
             false,
             this::lendShare);
     this.nextReceiver = Math.floorMod(context.selfId().hashCode(), RECEIVER_OFFSET_SPREAD);
-    context.rates().tell(this::onRateReceived);
+    context.rates().setListener(this::onRateReceived);
   }
 
   @Override
@@ -153,7 +153,7 @@
 
   private void sendKnownRate(String relay, String backend) {
     List<Observation> known =
-        context.rates().named(backend).map(named -> observationOf(backend, named)).stream()
+        context.rates().advertisedRate(backend).map(named -> observationOf(backend, named)).stream()
             .toList();
     for (RelayElection.Relay each : context.relays().get()) {
       if (each.id().equals(relay)) {
@@ -203,7 +203,7 @@
               now - record.getHeardAgoMillis());
       if (context
           .rates()
-          .told(
+          .recordReport(
               sender,
               observation.backend(),
               observation.rate(),
@@ -292,7 +292,7 @@
                 address,
                 new ShareLender.Heartbeat(relay, heartbeat.getLife(), heartbeat.getSentAt(), now),
                 0));
-    if (before != null && before.heartbeat().life() != heartbeat.getLife()) {
+    if (before != null && before.heartbeat().incarnation() != heartbeat.getLife()) {
       rateAwareNodes.remove(relay);
     }
     lendShare();
@@ -347,12 +347,12 @@
     send(addresses(nonLenders), known);
   }
 
-  private static Observation observationOf(String backend, StatedRates.Statement rate) {
+  private static Observation observationOf(String backend, AdvertisedRates.Observation rate) {
     return new Observation(
         backend,
         new AdvertisedRate.Limited(rate.perSecond()),
         rate.sentAtMillis(),
-        rate.heardAtMillis());
+        rate.receivedAtMillis());
   }
 
   @Override
--- a/gateway/src/main/java/org/lockdale/gateway/limit/Admission.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/Admission.java
@@ -17,7 +17,7 @@
    *
    * @param retryAfterMillis time after which the request may fit, in milliseconds
    */
-  record Beyond(long retryAfterMillis) implements Admission {}
+  record Denied(long retryAfterMillis) implements Admission {}
 
   /** No node could be reached that decides on limits. */
   record Unknown() implements Admission {}
--- a/gateway/src/main/java/org/lockdale/gateway/limit/Deciders.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/LimitRelaySelector.java
@@ -10,11 +10,11 @@
  * preferred over a more senior one that has returned. At most one relay can hold more than half of
  * the shares, so all nodes select the same one.
  */
-public final class Deciders {
+public final class LimitRelaySelector {
 
   private static final double MAJORITY = 0.5;
 
-  private Deciders() {}
+  private LimitRelaySelector() {}
 
   /**
    * Returns the relays in the order in which they are to decide on limits.
--- a/gateway/src/main/java/org/lockdale/gateway/limit/ShareLender.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/ShareLender.java
@@ -23,11 +23,11 @@
    * A heartbeat of a relay.
    *
    * @param relay id of the relay
-   * @param life incarnation of the relay's process
+   * @param incarnation incarnation of the relay's process
    * @param sentAtMillis time at which it was sent, by the relay's clock
-   * @param heardAtMillis time at which it was received, by this node's clock
+   * @param receivedAtMillis time at which it was received, by this node's clock
    */
-  public record Heartbeat(String relay, long life, long sentAtMillis, long heardAtMillis) {}
+  public record Heartbeat(String relay, long incarnation, long sentAtMillis, long receivedAtMillis) {}
 
   private @Nullable Heartbeat lent;
   private long lentUntilMillis;
@@ -52,13 +52,13 @@
    * @return whether the share is lent, until a fixed time after the heartbeat
    */
   public boolean lend(Heartbeat heartbeat, long nowMillis) {
-    boolean isExpired = nowMillis - heartbeat.heardAtMillis() >= TERM_MILLIS;
+    boolean isExpired = nowMillis - heartbeat.receivedAtMillis() >= TERM_MILLIS;
     boolean lentElsewhere = !isLentTo(heartbeat.relay()) && nowMillis < lentUntilMillis;
     if (isExpired || lentElsewhere) {
       return false;
     }
     lent = heartbeat;
-    lentUntilMillis = Math.max(lentUntilMillis, heartbeat.heardAtMillis() + TERM_MILLIS);
+    lentUntilMillis = Math.max(lentUntilMillis, heartbeat.receivedAtMillis() + TERM_MILLIS);
     return true;
   }
 
@@ -88,7 +88,7 @@
     Heartbeat latest = lent;
     if (latest != null
         && latest.relay().equals(relay)
-        && latest.life() == life
+        && latest.incarnation() == life
         && latest.sentAtMillis() == sentAtMillis) {
       lent = null;
       lentUntilMillis = Math.min(lentUntilMillis, nowMillis);
--- a/gateway/src/main/java/org/lockdale/gateway/limit/TenantBuckets.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/TenantBuckets.java
@@ -97,7 +97,7 @@
    * Sets the allowances of all tenants with limits, by tenant name. A bucket whose limit was
    * lowered loses the surplus.
    */
-  public void limit(Map<String, Allowance> allowances, long nowMillis) {
+  public void setAllowances(Map<String, Allowance> allowances, long nowMillis) {
     advance(nowMillis);
     settleAll();
     buckets.keySet().retainAll(allowances.keySet());
--- a/gateway/src/main/java/org/lockdale/gateway/limit/TenantLimiter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/TenantLimiter.java
@@ -17,5 +17,5 @@
   CompletableFuture<Admission> admit(String tenant, TenantLimit limit, double amount);
 
   /** Refunds the amount of a request that was not run and never will be. */
-  void giveBack(Admission.Granted granted);
+  void refund(Admission.Granted granted);
 }
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PlacementDecider.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PlacementDecider.java
@@ -92,7 +92,7 @@
    */
   public boolean tryCount(TrackedBackend target, boolean knowsRates) {
     String id = target.backend().id();
-    return knowsRates && !rates.wasNamedLately(id) || rates.tryTake(id);
+    return knowsRates && !rates.wasRecentlyAdvertised(id) || rates.tryTake(id);
   }
 
   /** Returns whether a version of weights is too old for a request to start on it now. */
@@ -202,7 +202,7 @@
       return atRateLimit.isEmpty() && backoffMillis == NO_BACKOFF
           ? PlacementResult.NO_CANDIDATE
           : new PlacementResult.RetryLater(
-              rates.comeBackMillis(query.pool(), atRateLimit, backoffMillis));
+              rates.retryAfterMillis(query.pool(), atRateLimit, backoffMillis));
     }
 
     private Placement placed(TrackedBackend target, @Nullable PromptPlacement prompt) {
--- a/gateway/src/main/java/org/lockdale/gateway/rate/StatedRates.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/AdvertisedRates.java
@@ -16,7 +16,7 @@
  * either order the lowest rate applies, and an answer without a rate ends none. Performs no I/O;
  * the time is passed in. Not thread-safe.
  */
-public final class StatedRates {
+public final class AdvertisedRates {
 
   /** Effect of an answer on the rate limit of its backend. */
   public enum Change {
@@ -42,25 +42,25 @@
    * @param perSecond requests per second that the backend accepts, or positive infinity for no
    *     limit
    * @param sentAtMillis monotonic time at which the request was sent
-   * @param heardAtMillis monotonic time at which the first part of the answer was received
+   * @param receivedAtMillis monotonic time at which the first part of the answer was received
    */
-  public record Statement(double perSecond, long sentAtMillis, long heardAtMillis) {
+  public record Observation(double perSecond, long sentAtMillis, long receivedAtMillis) {
 
-    boolean isLaterThan(Statement other) {
-      return sentAtMillis > other.heardAtMillis;
+    boolean isLaterThan(Observation other) {
+      return sentAtMillis > other.receivedAtMillis;
     }
 
     /**
      * Returns whether this makes the other one redundant: it remains valid for at least as long and
      * is no higher.
      */
-    boolean covers(Statement other) {
-      return perSecond <= other.perSecond && heardAtMillis >= other.heardAtMillis;
+    boolean covers(Observation other) {
+      return perSecond <= other.perSecond && receivedAtMillis >= other.receivedAtMillis;
     }
   }
 
   /** Observations that no later one has superseded, by backend. */
-  private final Map<String, List<Statement>> latest = new HashMap<>();
+  private final Map<String, List<Observation>> latest = new HashMap<>();
 
   /**
    * Processes the rate limit of an answer. An unreadable rate changes nothing: a backend with a
@@ -79,7 +79,7 @@
     }
     double perSecond = rate instanceof AdvertisedRate.Limited limit ? limit.perSecond() : NO_LIMIT;
     double before = rateOf(backend);
-    add(backend, new Statement(perSecond, sentAtMillis, heardAtMillis));
+    add(backend, new Observation(perSecond, sentAtMillis, heardAtMillis));
     double after = rateOf(backend);
     if (after == before) {
       return Change.NONE;
@@ -87,8 +87,8 @@
     return after == NO_LIMIT ? Change.ENDED : Change.LIMITED;
   }
 
-  private void add(String backend, Statement added) {
-    List<Statement> observations = latest.computeIfAbsent(backend, id -> new ArrayList<>());
+  private void add(String backend, Observation added) {
+    List<Observation> observations = latest.computeIfAbsent(backend, id -> new ArrayList<>());
     if (observations.stream().anyMatch(known -> known.isLaterThan(added) || known.covers(added))) {
       return;
     }
@@ -97,19 +97,19 @@
   }
 
   private double rateOf(String backend) {
-    return lowest(backend).map(Statement::perSecond).orElse(NO_LIMIT);
+    return lowest(backend).map(Observation::perSecond).orElse(NO_LIMIT);
   }
 
   /**
    * Returns the lowest rate limit among the latest answers of a backend, or empty if it has none.
    */
-  public Optional<Statement> lowest(String backend) {
+  public Optional<Observation> lowest(String backend) {
     return lowestOf(latest.getOrDefault(backend, List.of()));
   }
 
-  private static Optional<Statement> lowestOf(List<Statement> observations) {
-    Statement lowest = null;
-    for (Statement observation : observations) {
+  private static Optional<Observation> lowestOf(List<Observation> observations) {
+    Observation lowest = null;
+    for (Observation observation : observations) {
       boolean limits = observation.perSecond() < NO_LIMIT;
       if (limits && (lowest == null || observation.perSecond() < lowest.perSecond())) {
         lowest = observation;
@@ -120,14 +120,14 @@
 
   /** Returns the rate limit of a backend in requests per second, or empty if it has none. */
   public OptionalDouble perSecond(String backend) {
-    return lowest(backend).stream().mapToDouble(Statement::perSecond).findAny();
+    return lowest(backend).stream().mapToDouble(Observation::perSecond).findAny();
   }
 
   /**
    * Returns the lowest rate limit among the latest answers, by backend, of those that have a limit.
    */
-  public Map<String, Statement> limited() {
-    Map<String, Statement> limited = new HashMap<>();
+  public Map<String, Observation> limited() {
+    Map<String, Observation> limited = new HashMap<>();
     latest.forEach(
         (backend, observations) ->
             lowestOf(observations).ifPresent(observation -> limited.put(backend, observation)));
@@ -158,6 +158,6 @@
   private boolean endedLongAgo(String backend, long nowMillis) {
     return rateOf(backend) == NO_LIMIT
         && latest.get(backend).stream()
-            .allMatch(known -> nowMillis - known.heardAtMillis() > ENDED_RETENTION_MILLIS);
+            .allMatch(known -> nowMillis - known.receivedAtMillis() > ENDED_RETENTION_MILLIS);
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/rate/BackendRates.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/BackendRates.java
@@ -30,7 +30,7 @@
      * @param heardAtMillis monotonic time at which the first part of the answer was received
      * @param isNews whether the answer changed the rate limit known to this node
      */
-    void heard(
+    void onAdvertisedRate(
         String backend, AdvertisedRate rate, long sentAtMillis, long heardAtMillis, boolean isNews);
   }
 
@@ -55,7 +55,7 @@
   private static final double RETRIES_AFTER_BACKOFF_PER_SECOND = 50;
 
   private final Time time;
-  private final StatedRates advertised = new StatedRates();
+  private final AdvertisedRates advertised = new AdvertisedRates();
   private final RateAllowances allowances;
   private final RetryAfterSchedule retrySchedule = new RetryAfterSchedule();
   private final Map<String, Long> sends = new HashMap<>();
@@ -74,7 +74,7 @@
   }
 
   /** Sets the listener for answers to this node, in place of any former one. */
-  public void tell(Listener newListener) {
+  public void setListener(Listener newListener) {
     listener = newListener;
   }
 
@@ -85,7 +85,7 @@
    * @param rate rate limit in the answer
    * @param sentAtMillis monotonic time at which the request was sent
    */
-  public void stated(String backend, AdvertisedRate rate, long sentAtMillis) {
+  public void recordAnswer(String backend, AdvertisedRate rate, long sentAtMillis) {
     if (!anyKnown && rate instanceof AdvertisedRate.None) {
       return;
     }
@@ -99,7 +99,7 @@
     boolean notifies = rate instanceof AdvertisedRate.Limited || isKnown(backend);
     boolean isNews = record(backend, rate, sentAtMillis, now, "answer");
     if (notifies) {
-      listener.heard(backend, rate, sentAtMillis, now, isNews);
+      listener.onAdvertisedRate(backend, rate, sentAtMillis, now, isNews);
     }
   }
 
@@ -113,14 +113,14 @@
    * @param heardAtMillis monotonic time at which the first part of the answer was received
    * @return whether the answer changed the rate limit known to this node
    */
-  public boolean told(
+  public boolean recordReport(
       String sender, String backend, AdvertisedRate rate, long sentAtMillis, long heardAtMillis) {
     return record(backend, rate, sentAtMillis, heardAtMillis, sender);
   }
 
   private synchronized boolean record(
       String backend, AdvertisedRate rate, long sentAtMillis, long receivedAtMillis, String source) {
-    StatedRates.Change change = advertised.record(backend, rate, sentAtMillis, receivedAtMillis);
+    AdvertisedRates.Change change = advertised.record(backend, rate, sentAtMillis, receivedAtMillis);
     anyKnown = !advertised.isEmpty();
     switch (change) {
       case LIMITED -> {
@@ -137,7 +137,7 @@
         // Most answers repeat the rate of the previous one.
       }
     }
-    return change != StatedRates.Change.NONE;
+    return change != AdvertisedRates.Change.NONE;
   }
 
   private synchronized boolean isKnown(String backend) {
@@ -146,24 +146,24 @@
 
   /** Returns whether a backend advertises a rate. */
   public boolean isLimited(String backend) {
-    return anyKnown && named(backend).isPresent();
+    return anyKnown && advertisedRate(backend).isPresent();
   }
 
   /**
    * Returns whether a backend advertises a rate and the answer that determines it was received
    * recently.
    */
-  public boolean wasNamedLately(String backend) {
+  public boolean wasRecentlyAdvertised(String backend) {
     return anyKnown
-        && named(backend)
-            .filter(lowest -> time.monotonicMillis() - lowest.heardAtMillis() < RECENT_MILLIS)
+        && advertisedRate(backend)
+            .filter(lowest -> time.monotonicMillis() - lowest.receivedAtMillis() < RECENT_MILLIS)
             .isPresent();
   }
 
   /**
    * Returns the lowest rate among the latest answers of a backend, or empty if it advertises none.
    */
-  public synchronized Optional<StatedRates.Statement> named(String backend) {
+  public synchronized Optional<AdvertisedRates.Observation> advertisedRate(String backend) {
     return advertised.lowest(backend);
   }
 
@@ -173,7 +173,7 @@
   }
 
   /** Returns the lowest rate among the latest answers, by backend, of those that advertise one. */
-  public synchronized Map<String, StatedRates.Statement> limited() {
+  public synchronized Map<String, AdvertisedRates.Observation> limited() {
     return advertised.limited();
   }
 
@@ -208,7 +208,7 @@
    * @param backoffMillis time until the first of its other backends ends its backoff, or {@link
    *     Long#MAX_VALUE}
    */
-  public synchronized long comeBackMillis(
+  public synchronized long retryAfterMillis(
       String pool, Collection<String> backends, long backoffMillis) {
     delays++;
     long now = time.monotonicMillis();
@@ -249,7 +249,7 @@
   }
 
   /** Records that this node sends a request to a backend. */
-  public void sent(String backend) {
+  public void recordSend(String backend) {
     if (anyKnown) {
       count(backend);
     }
--- a/gateway/src/main/java/org/lockdale/gateway/request/Attempt.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/Attempt.java
@@ -93,7 +93,7 @@
     sentAtMonotonicMillis = time.monotonicMillis();
     lastReceivedAtMillis = sentAtMillis;
     target.addEndListener(onIncarnationEnd);
-    rates.sent(target.backend().id());
+    rates.recordSend(target.backend().id());
     call =
         client.send(
             state.exchange.eventLoop(),
@@ -226,7 +226,7 @@
     }
     if (!received.misdirected()) {
       liveness.answered(target, connectedAtMillis(), sentAtMonotonicMillis);
-      rates.stated(target.backend().id(), received.advertisedRate(), sentAtMonotonicMillis);
+      rates.recordAnswer(target.backend().id(), received.advertisedRate(), sentAtMonotonicMillis);
       announcements.process(target, received);
     }
     if (received.misdirected()) {
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestPath.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestPath.java
@@ -279,7 +279,7 @@
     long backoff = backoffMillis(state.pool);
     return backoff == 0
         ? queued
-        : Math.max(queued, rates.comeBackMillis(state.pool, List.of(), backoff));
+        : Math.max(queued, rates.retryAfterMillis(state.pool, List.of(), backoff));
   }
 
   /**
--- a/gateway/src/main/java/org/lockdale/gateway/request/TenantLimitStep.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/TenantLimitStep.java
@@ -50,7 +50,7 @@
     if (admission instanceof Admission.Granted granted) {
       state.granted = granted;
       onAdmitted.run();
-    } else if (admission instanceof Admission.Beyond beyond) {
+    } else if (admission instanceof Admission.Denied beyond) {
       Logger.info(
           "event=tenant-beyond-limit request={} tenant={} retry-after-ms={}",
           state.request.id(),
@@ -75,7 +75,7 @@
     Admission.Granted granted = state.granted;
     if (granted != null) {
       state.granted = null;
-      limiter.giveBack(granted);
+      limiter.refund(granted);
     }
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/RateSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/RateSimulation.java
@@ -269,7 +269,7 @@
 
     private boolean tryCount(Node relay, String backend) {
       boolean supportsRates = exchange.supportsRates(relay.id);
-      return supportsRates && !rates.wasNamedLately(backend) || rates.tryTake(backend);
+      return supportsRates && !rates.wasRecentlyAdvertised(backend) || rates.tryTake(backend);
     }
 
     private void onTimeout(Node relay, boolean isRepeat) {
@@ -297,7 +297,7 @@
       String target = backend.id();
       long sentAt = monotonicMillis();
       long current = incarnation;
-      rates.sent(target);
+      rates.recordSend(target);
       time.schedule(
           LINK_MICROS + random.nextInt(JITTER_MICROS),
           () -> {
@@ -326,7 +326,7 @@
         if (backend.id().equals(target)) {
           backend.onAnswerReceived(id, rate, time.monotonicMillis());
         }
-        rates.stated(target, rate, sentAt);
+        rates.recordAnswer(target, rate, sentAt);
       }
     }
   }
--- a/gateway/src/test/java/org/lockdale/gateway/limit/LimitRelaySelectorTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/LimitRelaySelectorTest.java
@@ -12,7 +12,7 @@
   private static final List<String> BY_SENIORITY = List.of("a", "b", "c");
 
   private static List<String> order(Map<String, Double> shares) {
-    return Deciders.inOrder(BY_SENIORITY, relay -> shares.getOrDefault(relay, 0.0));
+    return LimitRelaySelector.inOrder(BY_SENIORITY, relay -> shares.getOrDefault(relay, 0.0));
   }
 
   @Test
--- a/gateway/src/test/java/org/lockdale/gateway/limit/LimitSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/LimitSimulation.java
@@ -171,7 +171,7 @@
           limits = limitsInStore;
           Map<String, Allowance> allowances = new HashMap<>();
           limits.forEach((tenant, limit) -> allowances.put(tenant, Allowance.of(limit, BOUND)));
-          buckets.limit(allowances, clock());
+          buckets.setAllowances(allowances, clock());
         }
       }
     }
@@ -203,7 +203,7 @@
 
     private List<String> limitRelays() {
       List<String> relays = election.deciders(ShareLender.TERM_MILLIS, clock());
-      return Deciders.inOrder(
+      return LimitRelaySelector.inOrder(
           relays,
           relay ->
               relay.equals(id) ? buckets.share(clock()) : reportedShares.getOrDefault(relay, 0.0));
@@ -255,7 +255,7 @@
     }
 
     private void release(Node node, ShareLender.Heartbeat loan, boolean reserve) {
-      if (loan.life() != incarnation) {
+      if (loan.incarnation() != incarnation) {
         return;
       }
       long until = loan.sentAtMillis() + ShareLender.TERM_MILLIS;
@@ -279,7 +279,7 @@
 
     private void borrow(
         String node, ShareLender.Heartbeat heartbeat, double part, boolean reserve) {
-      if (heartbeat.life() != incarnation) {
+      if (heartbeat.incarnation() != incarnation) {
         return;
       }
       long until = heartbeat.sentAtMillis() + ShareLender.TERM_MILLIS;
--- a/gateway/src/test/java/org/lockdale/gateway/limit/TenantBucketsTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/TenantBucketsTest.java
@@ -20,7 +20,7 @@
 
   private static TenantBuckets buckets() {
     TenantBuckets buckets = new TenantBuckets(WINDOW, 0);
-    buckets.limit(Map.of(TENANT, ALLOWANCE), 0);
+    buckets.setAllowances(Map.of(TENANT, ALLOWANCE), 0);
     return buckets;
   }
 
@@ -110,7 +110,7 @@
   public void aLowerLimitCutsTheLevelAtOnce() {
     TenantBuckets buckets = buckets();
     buckets.lent("a", 1.0, FOREVER, 0);
-    buckets.limit(Map.of(TENANT, new Allowance(0.1, 100, 0, 300)), 5_000);
+    buckets.setAllowances(Map.of(TENANT, new Allowance(0.1, 100, 0, 300)), 5_000);
     assertFalse(takes(buckets, 101, 5_000));
     assertTrue(takes(buckets, 100, 6_000));
   }
--- a/gateway/src/test/java/org/lockdale/gateway/rate/AdvertisedRatesTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/rate/AdvertisedRatesTest.java
@@ -14,33 +14,33 @@
 
   private static final String ID = "i-1@1";
 
-  private StatedRates rates;
+  private AdvertisedRates rates;
 
   @BeforeMethod
   public void start() {
-    rates = new StatedRates();
+    rates = new AdvertisedRates();
   }
 
-  private StatedRates.Change recordRate(double perSecond, long sentAt, long receivedAt) {
+  private AdvertisedRates.Change recordRate(double perSecond, long sentAt, long receivedAt) {
     return rates.record(ID, new AdvertisedRate.Limited(perSecond), sentAt, receivedAt);
   }
 
-  private StatedRates.Change recordNone(long sentAt, long receivedAt) {
+  private AdvertisedRates.Change recordNone(long sentAt, long receivedAt) {
     return rates.record(ID, AdvertisedRate.NONE, sentAt, receivedAt);
   }
 
   @Test
   public void aRateHoldsUntilALaterAnswerHasNone() {
-    assertEquals(recordRate(4, 0, 10), StatedRates.Change.LIMITED);
+    assertEquals(recordRate(4, 0, 10), AdvertisedRates.Change.LIMITED);
     assertEquals(rates.perSecond(ID), OptionalDouble.of(4));
-    assertEquals(recordNone(11, 20), StatedRates.Change.ENDED);
+    assertEquals(recordNone(11, 20), AdvertisedRates.Change.ENDED);
     assertEquals(rates.perSecond(ID), OptionalDouble.empty());
   }
 
   @Test
   public void anAnswerThatMayHaveBeenWrittenBeforeEndsNothing() {
     recordRate(4, 0, 10);
-    assertEquals(recordNone(9, 20), StatedRates.Change.NONE);
+    assertEquals(recordNone(9, 20), AdvertisedRates.Change.NONE);
     assertEquals(rates.perSecond(ID), OptionalDouble.of(4));
   }
 
@@ -76,14 +76,14 @@
   public void anAnswerOfTheTimeBeforeTheEndLimitsNothing() {
     recordRate(4, 0, 10);
     recordNone(20, 30);
-    assertEquals(recordRate(4, 2, 15), StatedRates.Change.NONE);
+    assertEquals(recordRate(4, 2, 15), AdvertisedRates.Change.NONE);
     assertEquals(rates.perSecond(ID), OptionalDouble.empty());
   }
 
   @Test
   public void whatCannotBeReadLeavesTheLastRate() {
     assertEquals(
-        rates.record(ID, new AdvertisedRate.Unreadable("many"), 0, 10), StatedRates.Change.NONE);
+        rates.record(ID, new AdvertisedRate.Unreadable("many"), 0, 10), AdvertisedRates.Change.NONE);
     recordRate(4, 20, 30);
     rates.record(ID, new AdvertisedRate.Unreadable("many"), 40, 50);
     assertEquals(rates.perSecond(ID), OptionalDouble.of(4));
