--- a/gateway/src/main/java/org/lockdale/gateway/life/LifeWatch.java
+++ b/gateway/src/main/java/org/lockdale/gateway/life/IncarnationMonitor.java
@@ -26,7 +26,7 @@
  * queried for its state, which contains its start time and its weights. Runs on one event loop;
  * rejections may be reported from any thread.
  */
-public final class LifeWatch {
+public final class IncarnationMonitor {
 
   /**
    * Least time in milliseconds between two queries of an engine. Its state is some hundred
@@ -57,7 +57,7 @@
    * @param notifyOthers notifies all other nodes that an incarnation is over, by its text form
    * @param time clock
    */
-  public LifeWatch(
+  public IncarnationMonitor(
       ScheduledExecutorService eventLoop,
       EngineControl engines,
       Supplier<BackendTable> backends,
@@ -138,7 +138,7 @@
    * Processes incarnations that another node reports to be over, by their text forms; to be called
    * on the event loop.
    */
-  public void told(List<String> incarnations) {
+  public void receive(List<String> incarnations) {
     BackendTable table = backends.get();
     for (String incarnation : incarnations) {
       // An id without a start time means whichever incarnation is present, so it proves nothing
--- a/gateway/src/main/java/org/lockdale/gateway/life/LifeOrder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/life/IncarnationOrder.java
@@ -17,7 +17,7 @@
  * to be over, or the record has existed for longer than the server takes to write again. A state
  * machine without I/O; not safe for use by several threads.
  */
-public final class LifeOrder {
+public final class IncarnationOrder {
 
   /**
    * Time in milliseconds after which a record with an earlier start time is accepted. Servers write
@@ -37,7 +37,7 @@
    * @param isOver whether an incarnation is known to be over
    * @param nowMillis monotonic time
    */
-  public List<Backend> order(Collection<Backend> read, Predicate<Backend> isOver, long nowMillis) {
+  public List<Backend> selectRecords(Collection<Backend> read, Predicate<Backend> isOver, long nowMillis) {
     Map<String, Backend> next = new HashMap<>();
     for (Backend record : read) {
       String server = record.incarnation().server();
@@ -68,7 +68,7 @@
    * Returns the monotonic time at which to decide again, or {@link Long#MAX_VALUE} if no decision
    * is pending.
    */
-  public long decidesAtMillis() {
+  public long nextDecisionAtMillis() {
     long earliest = NEVER;
     for (long since : earlierRecordSince.values()) {
       earliest = Math.min(earliest, since + STALE_RECORD_MILLIS);
--- a/gateway/src/main/java/org/lockdale/gateway/life/LifeEvidence.java
+++ b/gateway/src/main/java/org/lockdale/gateway/life/LivenessEvidence.java
@@ -15,7 +15,7 @@
  * A connection that had been established by such a moment leads to that incarnation, and answers
  * over it are its answers.
  */
-public final class LifeEvidence {
+public final class LivenessEvidence {
 
   /**
    * Time in milliseconds for which a record must exist after a moment to show that its incarnation
@@ -43,7 +43,7 @@
    *
    * @param backends backends that have a record, and when that was last known to be current
    */
-  public LifeEvidence(Supplier<Snapshot<BackendTable>> backends) {
+  public LivenessEvidence(Supplier<Snapshot<BackendTable>> backends) {
     this.backends = backends;
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/node/BackendController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/BackendController.java
@@ -16,7 +16,7 @@
 import org.lockdale.gateway.blackboard.GatewayBlackboard;
 import org.lockdale.gateway.configuration.GatewayConfiguration;
 import org.lockdale.gateway.configuration.Pool;
-import org.lockdale.gateway.life.LifeOrder;
+import org.lockdale.gateway.life.IncarnationOrder;
 import org.lockdale.gateway.table.RowReader;
 import org.lockdale.gateway.table.SharedRecords;
 import org.lockdale.gateway.table.TableFollower;
@@ -44,7 +44,7 @@
   private final Consumer<BackendTable> markDraining;
   private final Time time;
   private final ExpiredBackends expired;
-  private final LifeOrder incarnations = new LifeOrder();
+  private final IncarnationOrder incarnations = new IncarnationOrder();
   private List<Backend> latestRecords = List.of();
   private Set<String> serversWithRow = Set.of();
   private long provenAtMillis;
@@ -158,7 +158,7 @@
 
   private void scheduleNextPublish(long nowMillis) {
     long retentionEnd = expired.hasRetained() ? expired.retentionEndsAtMillis() : Long.MAX_VALUE;
-    long due = Math.min(retentionEnd, incarnations.decidesAtMillis());
+    long due = Math.min(retentionEnd, incarnations.nextDecisionAtMillis());
     if (due != Long.MAX_VALUE) {
       eventLoop.schedule(this::publish, due - nowMillis, TimeUnit.MILLISECONDS);
     }
@@ -172,7 +172,7 @@
             .map(TrackedBackend::backend)
             .toList();
     long now = time.monotonicMillis();
-    List<Backend> current = incarnations.order(inConfiguredPools(), this::isOver, now);
+    List<Backend> current = incarnations.selectRecords(inConfiguredPools(), this::isOver, now);
     if (now < recordsMayBeStaleUntilMillis) {
       current = current.stream().map(record -> keepDraining(record, before)).toList();
     }
--- a/gateway/src/main/java/org/lockdale/gateway/node/ClusterObserver.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/ClusterObserver.java
@@ -42,8 +42,8 @@
     this.nodeReader =
         new RowReader<>(row -> table.node(row).map(node -> new VersionedNode(node, row.version())));
     this.weightsReader = new RowReader<>(table::weights);
-    this.suspectReader = new RowReader<>(suspects::suspect);
-    this.attemptReader = new RowReader<>(suspects::attempt);
+    this.suspectReader = new RowReader<>(suspects::readSuspect);
+    this.attemptReader = new RowReader<>(suspects::readAttempt);
     this.onSuspects = onSuspects;
     this.nodes = nodes;
     this.recorder = recorder;
--- a/gateway/src/main/java/org/lockdale/gateway/node/ClusterServices.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/ClusterServices.java
@@ -143,7 +143,7 @@
             quarantineContext(protocols, controlClient),
             blackboard.suspects(),
             settings.get(GatewaySettings.QUARANTINE_HOLD).toMillis());
-    suspectCatchUp = new SuspectCatchUp(eventLoop, controlClient, nodes::peers, quarantine::told);
+    suspectCatchUp = new SuspectCatchUp(eventLoop, controlClient, nodes::peers, quarantine::receive);
     incarnations =
         IncarnationServices.of(
             eventLoop, protocols.engines(), blackboard, new PeerNotices(nodes, datagrams), time);
@@ -210,7 +210,7 @@
 
   /** Refers to the quarantine lazily, since the followers of tables are created before it. */
   private void onSuspectRows(List<Suspect> suspects, List<SuspectAttempt> attempts) {
-    quarantine.observed(suspects, attempts);
+    quarantine.updateFromTable(suspects, attempts);
   }
 
   private CacheDirectory cacheDirectory(GatewayProtocols protocols) {
@@ -281,8 +281,8 @@
             limits.client(),
             limits.rateExchange(),
             placements,
-            quarantine::told,
-            incarnations.monitor()::told,
+            quarantine::receive,
+            incarnations.monitor()::receive,
             incarnations.announcements()::processBroadcast));
     quarantine.start();
     suspectCatchUp.start();
--- a/gateway/src/main/java/org/lockdale/gateway/node/IncarnationServices.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/IncarnationServices.java
@@ -6,7 +6,7 @@
 import org.lockdale.gateway.cluster.PeerNotices;
 import org.lockdale.gateway.drain.BackendAnnouncements;
 import org.lockdale.gateway.drain.DrainingBackends;
-import org.lockdale.gateway.life.LifeWatch;
+import org.lockdale.gateway.life.IncarnationMonitor;
 import org.lockdale.gateway.weights.EngineControl;
 
 /**
@@ -17,7 +17,7 @@
  * @param announcements processes announcements that a backend is draining or requests a backoff
  * @param draining remembers incarnations that are draining
  */
-record IncarnationServices(LifeWatch monitor, BackendAnnouncements announcements, DrainingBackends draining) {
+record IncarnationServices(IncarnationMonitor monitor, BackendAnnouncements announcements, DrainingBackends draining) {
 
   /**
    * Creates the services.
@@ -37,7 +37,7 @@
     DrainingBackends drainingBackends =
         new DrainingBackends(() -> blackboard.backends().value(), notices::leaving, time);
     return new IncarnationServices(
-        new LifeWatch(
+        new IncarnationMonitor(
             eventLoop, engines, () -> blackboard.backends().value(), notices::lifeOver, time),
         new BackendAnnouncements(drainingBackends, time),
         drainingBackends);
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectEnd.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashInvolvement.java
@@ -8,7 +8,7 @@
  *     request is a likely cause
  * @param forgiven whether the crash no longer counts against the request
  */
-public record SuspectEnd(boolean early, boolean forgiven) {
+public record CrashInvolvement(boolean early, boolean forgiven) {
 
   private static final int EARLY_WEIGHT = 3;
   private static final int LATE_WEIGHT = 2;
@@ -18,11 +18,11 @@
     return forgiven ? 0 : early ? EARLY_WEIGHT : LATE_WEIGHT;
   }
 
-  SuspectEnd merge(SuspectEnd other) {
-    return new SuspectEnd(early || other.early, forgiven || other.forgiven);
+  CrashInvolvement merge(CrashInvolvement other) {
+    return new CrashInvolvement(early || other.early, forgiven || other.forgiven);
   }
 
-  SuspectEnd forgive() {
-    return new SuspectEnd(early, true);
+  CrashInvolvement forgive() {
+    return new CrashInvolvement(early, true);
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/Quarantine.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/Quarantine.java
@@ -19,7 +19,7 @@
 import org.lockdale.gateway.backend.BackendTable;
 import org.lockdale.gateway.backend.TrackedBackend;
 import org.lockdale.gateway.caller.CallerRequest;
-import org.lockdale.gateway.life.LifeEvidence;
+import org.lockdale.gateway.life.LivenessEvidence;
 import org.lockdale.http.Reachability;
 import org.tinylog.Logger;
 
@@ -66,9 +66,9 @@
   private final SuspectRecorder recorder;
   private final SuspectSender sender;
   private final AttemptJournal journal;
-  private final LifeEvidence livenessEvidence;
+  private final LivenessEvidence livenessEvidence;
 
-  private Collection<HeldRequest> previouslyQuarantined = List.of();
+  private Collection<QuarantinedRequest> previouslyQuarantined = List.of();
   private boolean tableRead;
   private boolean publishing;
 
@@ -89,7 +89,7 @@
     this.recorder =
         new SuspectRecorder(
             ledger, context.table(), context.coordinator(), context.eventLoop(), context.time());
-    this.livenessEvidence = new LifeEvidence(context.backends());
+    this.livenessEvidence = new LivenessEvidence(context.backends());
     this.journal = new AttemptJournal(context.table(), context.eventLoop(), context.time());
     this.sender = new SuspectSender(context.eventLoop(), ledger, context.sender());
   }
@@ -102,7 +102,7 @@
   }
 
   /** Returns the evidence that backends are alive, to which their answers are reported. */
-  public LifeEvidence lives() {
+  public LivenessEvidence livenessEvidence() {
     return livenessEvidence;
   }
 
@@ -112,9 +112,9 @@
    * @param request the request
    * @param caller name of the tenant, or the key where there is none
    * @param backend id of the backend's incarnation
-   * @return the attempt to report to {@link #concluded}; empty if the request is not a suspect
+   * @return the attempt to report to {@link #attemptConcluded}; empty if the request is not a suspect
    */
-  public Optional<SuspectAttempt> sending(CallerRequest request, String caller, String backend) {
+  public Optional<SuspectAttempt> attemptStarting(CallerRequest request, String caller, String backend) {
     Optional<SuspectAttempt> attempt = section.value().attempt(request, caller, backend);
     attempt.ifPresent(each -> context.eventLoop().execute(() -> begin(each)));
     return attempt;
@@ -133,12 +133,12 @@
    * @param attempt the attempt
    * @param uncertain whether it was lost, so that its backend may have crashed because of it
    */
-  public void concluded(SuspectAttempt attempt, boolean uncertain) {
+  public void attemptConcluded(SuspectAttempt attempt, boolean uncertain) {
     context.eventLoop().execute(() -> journal.conclude(attempt, uncertain));
   }
 
   /** Reports a lost attempt; from any thread. */
-  public void lost(LostAttempt attempt) {
+  public void attemptLost(LostAttempt attempt) {
     watch.attemptLost(attempt);
   }
 
@@ -148,7 +148,7 @@
    * @param request the request
    * @param caller name of the tenant, or the key where there is none
    */
-  public Optional<HeldRequest> held(CallerRequest request, String caller) {
+  public Optional<QuarantinedRequest> quarantined(CallerRequest request, String caller) {
     return section.value().quarantined(request, caller);
   }
 
@@ -159,7 +159,7 @@
    * @param request the request
    * @param caller name of the tenant, or the key where there is none
    */
-  public void answered(CallerRequest request, String caller) {
+  public void requestAnswered(CallerRequest request, String caller) {
     section
         .value()
         .fingerprintIfSuspect(request, caller)
@@ -168,7 +168,7 @@
   }
 
   /** Returns the requests that are quarantined; from any thread. */
-  Collection<HeldRequest> held() {
+  Collection<QuarantinedRequest> quarantined() {
     return section.value().quarantined();
   }
 
@@ -238,7 +238,7 @@
         lost.answerMillis());
     boolean early = lost.answerMillis() <= SuspectLedger.EARLY_MILLIS;
     int sketch = RequestFingerprint.sketchOf(lost.request(), lost.caller());
-    Map<String, SuspectEnd> crashes = Map.of(lost.backend(), new SuspectEnd(early, false));
+    Map<String, CrashInvolvement> crashes = Map.of(lost.backend(), new CrashInvolvement(early, false));
     Suspect suspect = new Suspect(fingerprint, sketch, crashes);
     if (ledger.recordLoss(suspect, context.time().monotonicMillis())) {
       propagate(suspect);
@@ -250,7 +250,7 @@
   }
 
   /** Processes suspects received from another node; to be called on the event loop. */
-  public void told(List<Suspect> suspects) {
+  public void receive(List<Suspect> suspects) {
     boolean changed = false;
     for (Suspect suspect : suspects) {
       changed |= merge(suspect);
@@ -290,7 +290,7 @@
    * @param rows suspects
    * @param attempts attempts of suspects
    */
-  public void observed(Collection<Suspect> rows, Collection<SuspectAttempt> attempts) {
+  public void updateFromTable(Collection<Suspect> rows, Collection<SuspectAttempt> attempts) {
     journal.update(attempts);
     boolean changed = countUnconcluded();
     for (Suspect row : recorder.update(rows)) {
@@ -316,7 +316,7 @@
           "event=backend-ended-under backend={} fingerprint={} evidence=unconcluded",
           attempt.backend(),
           attempt.fingerprint());
-      Map<String, SuspectEnd> crashes = Map.of(attempt.backend(), new SuspectEnd(true, false));
+      Map<String, CrashInvolvement> crashes = Map.of(attempt.backend(), new CrashInvolvement(true, false));
       Suspect suspect = new Suspect(attempt.fingerprint(), attempt.sketch(), crashes);
       if (merge(suspect)) {
         propagate(suspect);
@@ -379,8 +379,8 @@
 
   private void publish() {
     publishing = false;
-    List<HeldRequest> quarantined = ledger.quarantined();
-    for (HeldRequest request : quarantined) {
+    List<QuarantinedRequest> quarantined = ledger.quarantined();
+    for (QuarantinedRequest request : quarantined) {
       boolean before =
           previouslyQuarantined.stream()
               .anyMatch(other -> other.fingerprint().equals(request.fingerprint()));
@@ -388,7 +388,7 @@
         Logger.warn(
             "event=request-quarantined fingerprint={} backends={}",
             request.fingerprint(),
-            request.ends());
+            request.crashedBackends());
       }
     }
     previouslyQuarantined = quarantined;
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/QuarantineHandler.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/QuarantineHandler.java
@@ -59,12 +59,12 @@
   private String list() {
     long now = time.monotonicMillis();
     StringBuilder lines = new StringBuilder();
-    for (HeldRequest request : quarantine.held()) {
+    for (QuarantinedRequest request : quarantine.quarantined()) {
       lines
           .append("fingerprint=")
           .append(request.fingerprint())
           .append(" backends=")
-          .append(request.ends())
+          .append(request.crashedBackends())
           .append(" remaining-ms=")
           .append(request.untilMillis() - now)
           .append('\n');
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/Suspect.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/Suspect.java
@@ -9,19 +9,19 @@
  *
  * @param fingerprint the request
  * @param sketch distinguishes it from most other requests without a look at their bodies
- * @param ends crashes of backends while they ran it, by the id of the incarnation
+ * @param crashes crashes of backends while they ran it, by the id of the incarnation
  */
-public record Suspect(RequestFingerprint fingerprint, int sketch, Map<String, SuspectEnd> ends) {
+public record Suspect(RequestFingerprint fingerprint, int sketch, Map<String, CrashInvolvement> crashes) {
 
   /** Copies the map of crashes. */
   public Suspect {
-    ends = Map.copyOf(ends);
+    crashes = Map.copyOf(crashes);
   }
 
   /** Returns the sum of the weights of its crashes. */
   int weight() {
     int weight = 0;
-    for (SuspectEnd crash : ends.values()) {
+    for (CrashInvolvement crash : crashes.values()) {
       weight += crash.weight();
     }
     return weight;
@@ -29,8 +29,8 @@
 
   /** Returns the union of two views of the same request. */
   Suspect merge(Suspect other) {
-    Map<String, SuspectEnd> merged = new TreeMap<>(ends);
-    other.ends.forEach((backend, crash) -> merged.merge(backend, crash, SuspectEnd::merge));
+    Map<String, CrashInvolvement> merged = new TreeMap<>(crashes);
+    other.crashes.forEach((backend, crash) -> merged.merge(backend, crash, CrashInvolvement::merge));
     return new Suspect(fingerprint, sketch, merged);
   }
 
@@ -41,14 +41,14 @@
 
   /** Returns the same request with all crashes forgiven. */
   Suspect forgive() {
-    Map<String, SuspectEnd> forgiven = new TreeMap<>();
-    ends.forEach((backend, crash) -> forgiven.put(backend, crash.forgive()));
+    Map<String, CrashInvolvement> forgiven = new TreeMap<>();
+    crashes.forEach((backend, crash) -> forgiven.put(backend, crash.forgive()));
     return new Suspect(fingerprint, sketch, forgiven);
   }
 
   /** Returns the same request with the crash of one backend forgiven, since it is alive. */
   Suspect forgive(String backend) {
-    Map<String, SuspectEnd> forgiven = new TreeMap<>(ends);
+    Map<String, CrashInvolvement> forgiven = new TreeMap<>(crashes);
     forgiven.computeIfPresent(backend, (id, crash) -> crash.forgive());
     return new Suspect(fingerprint, sketch, forgiven);
   }
@@ -59,7 +59,7 @@
    */
   Suspect forgiveDownTo(int weight) {
     Suspect lighter = this;
-    for (String backend : new TreeMap<>(ends).keySet()) {
+    for (String backend : new TreeMap<>(crashes).keySet()) {
       if (lighter.weight() > weight) {
         lighter = lighter.forgive(backend);
       }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectLedger.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectLedger.java
@@ -83,11 +83,11 @@
     }
 
     void recordLearned(Suspect received, long nowMillis) {
-      received.ends().keySet().forEach(backend -> learnedAt.putIfAbsent(backend, nowMillis));
+      received.crashes().keySet().forEach(backend -> learnedAt.putIfAbsent(backend, nowMillis));
     }
 
     boolean isCrashed(String backend) {
-      SuspectEnd crash = suspect.ends().get(backend);
+      CrashInvolvement crash = suspect.crashes().get(backend);
       return crash != null && !crash.forgiven();
     }
   }
@@ -112,7 +112,7 @@
   boolean recordLoss(Suspect seen, long nowMillis) {
     boolean changed = merge(seen, nowMillis);
     Entry entry = entries.get(seen.fingerprint());
-    seen.ends().keySet().forEach(backend -> entry.learnedAt.put(backend, nowMillis));
+    seen.crashes().keySet().forEach(backend -> entry.learnedAt.put(backend, nowMillis));
     return changed;
   }
 
@@ -135,7 +135,7 @@
     if (merged.equals(entry.suspect)) {
       return false;
     }
-    if (merged.ends().size() > entry.suspect.ends().size()) {
+    if (merged.crashes().size() > entry.suspect.crashes().size()) {
       entry.lastCrashAtMillis = nowMillis;
     }
     entry.suspect = merged;
@@ -190,7 +190,7 @@
   Set<String> crashedBackends() {
     Set<String> crashed = new TreeSet<>();
     for (Entry entry : entries.values()) {
-      entry.suspect.ends().keySet().stream().filter(entry::isCrashed).forEach(crashed::add);
+      entry.suspect.crashes().keySet().stream().filter(entry::isCrashed).forEach(crashed::add);
     }
     return crashed;
   }
@@ -236,7 +236,7 @@
   }
 
   /** Returns the requests that are quarantined. */
-  List<HeldRequest> quarantined() {
+  List<QuarantinedRequest> quarantined() {
     List<Entry> candidates =
         entries.values().stream()
             .filter(entry -> entry.suspect.weight() >= QUARANTINE_WEIGHT)
@@ -249,9 +249,9 @@
         .toList();
   }
 
-  private HeldRequest quarantined(Entry entry) {
+  private QuarantinedRequest quarantined(Entry entry) {
     Suspect suspect = entry.suspect;
-    return new HeldRequest(
-        suspect.fingerprint(), suspect.ends().keySet(), entry.lastCrashAtMillis + holdMillis);
+    return new QuarantinedRequest(
+        suspect.fingerprint(), suspect.crashes().keySet(), entry.lastCrashAtMillis + holdMillis);
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectMessages.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectMessages.java
@@ -18,8 +18,8 @@
   /** Converts a suspect to a message. */
   public static SuspectRecord write(Suspect suspect) {
     List<SuspectEndRecord> crashes = new ArrayList<>();
-    for (Map.Entry<String, SuspectEnd> entry : suspect.ends().entrySet()) {
-      SuspectEnd crash = entry.getValue();
+    for (Map.Entry<String, CrashInvolvement> entry : suspect.crashes().entrySet()) {
+      CrashInvolvement crash = entry.getValue();
       crashes.add(new SuspectEndRecord(entry.getKey(), crash.early(), crash.forgiven()));
     }
     RequestFingerprint fingerprint = suspect.fingerprint();
@@ -28,9 +28,9 @@
 
   /** Converts a message to a suspect. */
   public static Suspect read(SuspectRecord message) {
-    Map<String, SuspectEnd> crashes = new TreeMap<>();
+    Map<String, CrashInvolvement> crashes = new TreeMap<>();
     for (SuspectEndRecord entry : message.getEnds()) {
-      crashes.put(entry.getEngine(), new SuspectEnd(entry.getEarly(), entry.getForgiven()));
+      crashes.put(entry.getEngine(), new CrashInvolvement(entry.getEarly(), entry.getForgiven()));
     }
     RequestFingerprint fingerprint = new RequestFingerprint(message.getHigh(), message.getLow());
     return new Suspect(fingerprint, message.getSketch(), crashes);
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectTable.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectTable.java
@@ -23,7 +23,7 @@
    *
    * @throws org.lockdale.gateway.table.MalformedRecordException if it can't be read
    */
-  Optional<Suspect> suspect(TableRowChange row);
+  Optional<Suspect> readSuspect(TableRowChange row);
 
   /** Records that a suspect request is being sent to a backend. */
   CompletableFuture<@Nullable Void> recordAttempt(SuspectAttempt attempt);
@@ -36,5 +36,5 @@
    *
    * @throws org.lockdale.gateway.table.MalformedRecordException if it can't be read
    */
-  Optional<SuspectAttempt> attempt(TableRowChange row);
+  Optional<SuspectAttempt> readAttempt(TableRowChange row);
 }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/Suspects.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/Suspects.java
@@ -20,9 +20,9 @@
 
   private final Set<Integer> sketches = new HashSet<>();
   private final Set<RequestFingerprint> suspected;
-  private final Map<RequestFingerprint, HeldRequest> quarantined = new HashMap<>();
+  private final Map<RequestFingerprint, QuarantinedRequest> quarantined = new HashMap<>();
 
-  Suspects(Collection<Suspect> suspects, Collection<HeldRequest> quarantined) {
+  Suspects(Collection<Suspect> suspects, Collection<QuarantinedRequest> quarantined) {
     Set<RequestFingerprint> fingerprints = new HashSet<>();
     for (Suspect suspect : suspects) {
       sketches.add(suspect.sketch());
@@ -43,7 +43,7 @@
   }
 
   /** Returns why a request is quarantined, or empty if it may be sent. */
-  Optional<HeldRequest> quarantined(CallerRequest request, String caller) {
+  Optional<QuarantinedRequest> quarantined(CallerRequest request, String caller) {
     return quarantined.isEmpty() || !mayBeSuspect(request, caller)
         ? Optional.empty()
         : Optional.ofNullable(quarantined.get(RequestFingerprint.of(request, caller)));
@@ -67,7 +67,7 @@
   }
 
   /** Returns the requests that are quarantined. */
-  public Collection<HeldRequest> quarantined() {
+  public Collection<QuarantinedRequest> quarantined() {
     return List.copyOf(quarantined.values());
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/request/Attempt.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/Attempt.java
@@ -13,7 +13,7 @@
 import org.lockdale.gateway.backend.TrackedBackend;
 import org.lockdale.gateway.configuration.RouteKind;
 import org.lockdale.gateway.drain.BackendAnnouncements;
-import org.lockdale.gateway.life.LifeEvidence;
+import org.lockdale.gateway.life.LivenessEvidence;
 import org.lockdale.gateway.quarantine.LostAttempt;
 import org.lockdale.gateway.rate.BackendRates;
 import org.lockdale.http.HttpCall;
@@ -38,7 +38,7 @@
   private final BackendProtocol protocol;
   private final BackendRates rates;
   private final BackendAnnouncements announcements;
-  private final LifeEvidence liveness;
+  private final LivenessEvidence liveness;
   private final Time time;
   private final Runnable onFirstEvent;
   private final BiConsumer<Attempt, AttemptResult> onResult;
@@ -64,7 +64,7 @@
       BackendProtocol protocol,
       BackendRates rates,
       BackendAnnouncements announcements,
-      LifeEvidence liveness,
+      LivenessEvidence liveness,
       Time time,
       Runnable onFirstEvent,
       BiConsumer<Attempt, AttemptResult> onResult) {
--- a/gateway/src/main/java/org/lockdale/gateway/request/AttemptReporter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/AttemptReporter.java
@@ -27,7 +27,7 @@
     concludeRecorded(false);
     String backend = attempt.target().backend().id();
     recordedAttempt =
-        path.quarantine().sending(state.request, state.caller(), backend).orElse(null);
+        path.quarantine().attemptStarting(state.request, state.caller(), backend).orElse(null);
   }
 
   /** Must be called when the request has ended, whatever attempt was running. */
@@ -39,7 +39,7 @@
     SuspectAttempt attempt = recordedAttempt;
     if (attempt != null) {
       recordedAttempt = null;
-      path.quarantine().concluded(attempt, mayHaveCrashed);
+      path.quarantine().attemptConcluded(attempt, mayHaveCrashed);
     }
   }
 
@@ -92,7 +92,7 @@
   void onLost(Attempt attempt, LostAttempt.Loss loss) {
     concludeRecorded(true);
     path.quarantine()
-        .lost(
+        .attemptLost(
             new LostAttempt(
                 attempt.target().backend().id(),
                 attempt.target().backend().address(),
--- a/gateway/src/main/java/org/lockdale/gateway/request/QuarantineFilter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/QuarantineFilter.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.ThreadLocalRandom;
 import org.jspecify.annotations.Nullable;
 import org.lockdale.coordination.time.Time;
-import org.lockdale.gateway.quarantine.HeldRequest;
+import org.lockdale.gateway.quarantine.QuarantinedRequest;
 import org.lockdale.gateway.quarantine.Quarantine;
 import org.tinylog.Logger;
 
@@ -37,16 +37,16 @@
 
   @Override
   public @Nullable Refusal apply(RequestState state) {
-    Optional<HeldRequest> quarantined = quarantine.held(state.request, state.caller());
+    Optional<QuarantinedRequest> quarantined = quarantine.quarantined(state.request, state.caller());
     return quarantined.isEmpty() ? null : refusal(state, quarantined.get());
   }
 
-  private Refusal refusal(RequestState state, HeldRequest quarantined) {
+  private Refusal refusal(RequestState state, QuarantinedRequest quarantined) {
     Logger.info(
         "event=request-held-back request={} fingerprint={} backends={}",
         state.request.id(),
         quarantined.fingerprint(),
-        quarantined.ends());
+        quarantined.crashedBackends());
     return new Refusal(
         RefusalKind.HELD_BACK,
         "Servers crashed each time this request ran, so it was not run again. Change it, or ask the"
@@ -56,7 +56,7 @@
         retryAfterMillis(quarantined));
   }
 
-  private long retryAfterMillis(HeldRequest quarantined) {
+  private long retryAfterMillis(QuarantinedRequest quarantined) {
     long remaining = quarantined.untilMillis() - time.monotonicMillis();
     double factor = ThreadLocalRandom.current().nextDouble(MIN_SPREAD_FACTOR, 1);
     return Math.max(1, (long) (Math.min(remaining, MAX_RETRY_AFTER_MILLIS) * factor));
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestExecution.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestExecution.java
@@ -102,7 +102,7 @@
       return;
     }
     // Checked before each attempt: a request that crashed one backend would crash the next one.
-    if (path.quarantine().held(state.request, state.caller()).isPresent()) {
+    if (path.quarantine().quarantined(state.request, state.caller()).isPresent()) {
       giveUp("backends crashed each time this request ran", null);
       return;
     }
@@ -252,7 +252,7 @@
     reporter.onConcluded(attempt, result);
     switch (result) {
       case COMPLETE -> {
-        path.quarantine().answered(state.request, state.caller());
+        path.quarantine().requestAnswered(state.request, state.caller());
         end(RequestPath.COMPLETE);
       }
       case WITHDRAWN -> onWithdrawn(attempt);
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestPath.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestPath.java
@@ -17,8 +17,8 @@
 import org.lockdale.gateway.configuration.GatewayConfiguration;
 import org.lockdale.gateway.configuration.Pool;
 import org.lockdale.gateway.drain.BackendAnnouncements;
-import org.lockdale.gateway.life.LifeEvidence;
-import org.lockdale.gateway.life.LifeWatch;
+import org.lockdale.gateway.life.LivenessEvidence;
+import org.lockdale.gateway.life.IncarnationMonitor;
 import org.lockdale.gateway.limit.RetryBudget;
 import org.lockdale.gateway.limit.TenantLimiter;
 import org.lockdale.gateway.placement.PlacementDecider;
@@ -54,7 +54,7 @@
   private final PlacementService placements;
   private final PlacementDecider decider;
   private final Quarantine quarantine;
-  private final LifeWatch incarnations;
+  private final IncarnationMonitor incarnations;
   private final BackendRates rates;
   private final BackendAnnouncements announcements;
   private final String zone;
@@ -101,7 +101,7 @@
       PlacementService placements,
       PlacementDecider decider,
       Quarantine quarantine,
-      LifeWatch incarnations,
+      IncarnationMonitor incarnations,
       BackendRates rates,
       BackendAnnouncements announcements,
       String zone,
@@ -233,12 +233,12 @@
     return quarantine;
   }
 
-  LifeWatch incarnations() {
+  IncarnationMonitor incarnations() {
     return incarnations;
   }
 
-  LifeEvidence livenessEvidence() {
-    return quarantine.lives();
+  LivenessEvidence livenessEvidence() {
+    return quarantine.livenessEvidence();
   }
 
   BackendRates rates() {
--- a/gateway/src/test/java/org/lockdale/gateway/life/IncarnationMonitorTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationMonitorTest.java
@@ -38,7 +38,7 @@
   private List<String> notified;
   private CompletableFuture<EngineState> state;
   private int queries;
-  private LifeWatch monitor;
+  private IncarnationMonitor monitor;
 
   private final class Engine implements EngineControl {
     @Override
@@ -64,7 +64,7 @@
     queries = 0;
     state = new CompletableFuture<>();
     monitor =
-        new LifeWatch(new VirtualExecutor(time), new Engine(), () -> table, notified::add, time);
+        new IncarnationMonitor(new VirtualExecutor(time), new Engine(), () -> table, notified::add, time);
   }
 
   private void misdirected(Long weights) {
@@ -139,9 +139,9 @@
 
   @Test
   public void whatOtherNodesFoundOutHoldsForThatLifeOnly() {
-    monitor.told(List.of("i-1@6", "i-1", "i-2@7"));
+    monitor.receive(List.of("i-1@6", "i-1", "i-2@7"));
     assertFalse(target.hasEnded());
-    monitor.told(List.of("i-1@7"));
+    monitor.receive(List.of("i-1@7"));
     assertTrue(target.hasEnded());
     assertEquals(notified, List.of(), "the node that detected it has notified all");
   }
--- a/gateway/src/test/java/org/lockdale/gateway/life/IncarnationOrderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationOrderTest.java
@@ -15,11 +15,11 @@
  */
 public final class IncarnationOrderTest {
 
-  private LifeOrder order;
+  private IncarnationOrder order;
 
   @BeforeMethod
   public void create() {
-    order = new LifeOrder();
+    order = new IncarnationOrder();
   }
 
   private static Backend backend(String id) {
@@ -28,14 +28,14 @@
   }
 
   private String accepted(String read, boolean isOver, long nowMillis) {
-    return order.order(List.of(backend(read)), known -> isOver, nowMillis).get(0).id();
+    return order.selectRecords(List.of(backend(read)), known -> isOver, nowMillis).get(0).id();
   }
 
   @Test
   public void aLaterLifeIsTakenAtOnce() {
     assertEquals(accepted("i@100", false, 0), "i@100");
     assertEquals(accepted("i@200", false, 1), "i@200");
-    assertEquals(order.decidesAtMillis(), Long.MAX_VALUE);
+    assertEquals(order.nextDecisionAtMillis(), Long.MAX_VALUE);
   }
 
   @Test
@@ -43,7 +43,7 @@
     accepted("i@200", false, 0);
     assertEquals(accepted("i@100", false, 10), "i@200");
     assertEquals(accepted("i@200", false, 500), "i@200");
-    assertEquals(order.decidesAtMillis(), Long.MAX_VALUE, "the server has written again");
+    assertEquals(order.nextDecisionAtMillis(), Long.MAX_VALUE, "the server has written again");
   }
 
   @Test
@@ -56,8 +56,8 @@
   public void aClockThatWasSetBackIsBelievedAfterATime() {
     accepted("i@200", false, 0);
     assertEquals(accepted("i@100", false, 10), "i@200");
-    long due = order.decidesAtMillis();
-    assertEquals(due, 10 + LifeOrder.STALE_RECORD_MILLIS);
+    long due = order.nextDecisionAtMillis();
+    assertEquals(due, 10 + IncarnationOrder.STALE_RECORD_MILLIS);
     assertEquals(accepted("i@100", false, due - 1), "i@200");
     assertEquals(accepted("i@100", false, due), "i@100");
   }
@@ -65,7 +65,7 @@
   @Test
   public void aServerThatLeftInBetweenBeginsAnew() {
     accepted("i@200", false, 0);
-    order.order(List.of(), known -> false, 1);
+    order.selectRecords(List.of(), known -> false, 1);
     assertEquals(accepted("i@100", false, 2), "i@100");
   }
 
--- a/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulation.java
@@ -118,14 +118,14 @@
   }
 
   private final class Node implements EngineControl {
-    private final LifeOrder order = new LifeOrder();
-    private final LifeWatch monitor;
+    private final IncarnationOrder order = new IncarnationOrder();
+    private final IncarnationMonitor monitor;
     private BackendTable table = BackendTable.EMPTY;
     private boolean isolated;
 
     Node() {
       monitor =
-          new LifeWatch(
+          new IncarnationMonitor(
               new VirtualExecutor(time),
               this,
               () -> table,
@@ -137,7 +137,7 @@
       if (!isolated) {
         BackendTable before = table;
         List<Backend> current =
-            order.order(
+            order.selectRecords(
                 List.copyOf(rows.values()),
                 known -> {
                   TrackedBackend tracked = before.find(known.id());
@@ -233,7 +233,7 @@
     for (Node receiver : nodes) {
       boolean arrives = !sender.isolated && !receiver.isolated && random.nextInt(50) > 0;
       if (receiver != sender && arrives) {
-        time.schedule(millis(1, 20), () -> receiver.monitor.told(List.of(incarnation)));
+        time.schedule(millis(1, 20), () -> receiver.monitor.receive(List.of(incarnation)));
       }
     }
   }
@@ -253,7 +253,7 @@
     time.schedule(1_000_000, this::crash);
     time.schedule(2_000_000, this::rollOutWeights);
     time.schedule(1_500_000, this::isolateNodes);
-    time.runMillis(FAULTS_UNTIL_MILLIS + LifeOrder.STALE_RECORD_MILLIS + CONTACT_MILLIS);
+    time.runMillis(FAULTS_UNTIL_MILLIS + IncarnationOrder.STALE_RECORD_MILLIS + CONTACT_MILLIS);
     return result();
   }
 
--- a/gateway/src/test/java/org/lockdale/gateway/life/LivenessEvidenceTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/LivenessEvidenceTest.java
@@ -22,7 +22,7 @@
   private static final long START_MILLIS = 100_000;
 
   private Section<BackendTable> backends;
-  private LifeEvidence evidence;
+  private LivenessEvidence evidence;
   private TrackedBackend target;
 
   @BeforeMethod
@@ -30,7 +30,7 @@
     BackendTable table = BackendTable.EMPTY.with(List.of(backend("i-1@1")));
     target = table.find("i-1@1");
     backends = new Section<>(table);
-    evidence = new LifeEvidence(backends::snapshot);
+    evidence = new LivenessEvidence(backends::snapshot);
   }
 
   private static Backend backend(String id) {
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/EmptySuspectTable.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/EmptySuspectTable.java
@@ -18,7 +18,7 @@
   }
 
   @Override
-  public Optional<Suspect> suspect(TableRowChange row) {
+  public Optional<Suspect> readSuspect(TableRowChange row) {
     return Optional.empty();
   }
 
@@ -33,7 +33,7 @@
   }
 
   @Override
-  public Optional<SuspectAttempt> attempt(TableRowChange row) {
+  public Optional<SuspectAttempt> readAttempt(TableRowChange row) {
     return Optional.empty();
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulation.java
@@ -22,7 +22,7 @@
 import org.lockdale.gateway.backend.BackendTable;
 import org.lockdale.gateway.backend.TrackedBackend;
 import org.lockdale.gateway.caller.CallerRequest;
-import org.lockdale.gateway.life.LifeEvidence;
+import org.lockdale.gateway.life.LivenessEvidence;
 import org.lockdale.gateway.table.TableRowChange;
 import org.lockdale.http.Reachability;
 
@@ -197,7 +197,7 @@
       this.server = server;
       this.assumed = assumed;
       this.connectedAtMillis = node.connect(server);
-      this.recorded = node.quarantine.sending(request, "tenant", assumed);
+      this.recorded = node.quarantine.attemptStarting(request, "tenant", assumed);
       this.contents = contents;
       this.request = request;
       this.triesLeft = triesLeft;
@@ -214,8 +214,8 @@
     private void giveUp() {
       if (server.runs.contains(this)) {
         givenUp = true;
-        recorded.ifPresent(attempt -> node.quarantine.concluded(attempt, true));
-        node.quarantine.lost(
+        recorded.ifPresent(attempt -> node.quarantine.attemptConcluded(attempt, true));
+        node.quarantine.attemptLost(
             new LostAttempt(
                 assumed,
                 server.address,
@@ -241,8 +241,8 @@
       }
       server.runs.remove(this);
       node.answered(this);
-      node.quarantine.answered(request, "tenant");
-      recorded.ifPresent(attempt -> node.quarantine.concluded(attempt, false));
+      node.quarantine.requestAnswered(request, "tenant");
+      recorded.ifPresent(attempt -> node.quarantine.attemptConcluded(attempt, false));
     }
 
     void lost() {
@@ -250,11 +250,11 @@
         return;
       }
       long answerMillis = time.monotonicMillis() - begunAtMillis;
-      recorded.ifPresent(attempt -> node.quarantine.concluded(attempt, true));
+      recorded.ifPresent(attempt -> node.quarantine.attemptConcluded(attempt, true));
       if (!contents.guilty) {
         lostRuns++;
       }
-      node.quarantine.lost(
+      node.quarantine.attemptLost(
           new LostAttempt(
               assumed,
               server.address,
@@ -312,7 +312,7 @@
     private long readAtMillis;
     private final Map<InetSocketAddress, Deque<Long>> idle = new HashMap<>();
     private final Map<InetSocketAddress, Long> avoidedUntil = new HashMap<>();
-    private final LifeEvidence livenessEvidence = new LifeEvidence(this::servers);
+    private final LivenessEvidence livenessEvidence = new LivenessEvidence(this::servers);
     long disturbedUntilMillis = -CONTACT_MILLIS;
     boolean isolated;
     private boolean down;
@@ -421,7 +421,7 @@
                   && !isolated
                   && !other.isolated
                   && !other.down) {
-                instance.told(other.quarantine.heaviest(64));
+                instance.receive(other.quarantine.heaviest(64));
               }
             });
       }
@@ -456,7 +456,7 @@
 
     void readTable() {
       if (reachesStore()) {
-        quarantine.observed(List.copyOf(rows.values()), List.copyOf(attemptRows));
+        quarantine.updateFromTable(List.copyOf(rows.values()), List.copyOf(attemptRows));
       } else {
         executor.schedule(
             this::readTable, TABLE_MILLIS, java.util.concurrent.TimeUnit.MILLISECONDS);
@@ -486,7 +486,7 @@
     }
 
     @Override
-    public Optional<Suspect> suspect(TableRowChange row) {
+    public Optional<Suspect> readSuspect(TableRowChange row) {
       throw new UnsupportedOperationException();
     }
 
@@ -501,7 +501,7 @@
     }
 
     @Override
-    public Optional<SuspectAttempt> attempt(TableRowChange row) {
+    public Optional<SuspectAttempt> readAttempt(TableRowChange row) {
       throw new UnsupportedOperationException();
     }
   }
@@ -584,7 +584,7 @@
     }
     Node node = running.get(random.nextInt(running.size()));
     CallerRequest request = Requests.of("r" + ++tries, "/path", what.body);
-    if (node.quarantine.held(request, "tenant").isPresent()) {
+    if (node.quarantine.quarantined(request, "tenant").isPresent()) {
       what.refused = true;
       return;
     }
@@ -606,7 +606,7 @@
     node.avoid(server);
     if (plan.evidence().addressesTaken()) {
       // Whatever accepts connections at its address closes them.
-      node.quarantine.lost(
+      node.quarantine.attemptLost(
           new LostAttempt(
               assumed.id(),
               server.address,
@@ -634,7 +634,7 @@
             1_000 + random.nextInt((int) MAX_DELAY_MICROS),
             () -> {
               if (receiver.quarantine == instance) {
-                instance.told(suspects);
+                instance.receive(suspects);
               }
             });
       }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineTest.java
@@ -19,7 +19,7 @@
 import org.lockdale.gateway.backend.Backend;
 import org.lockdale.gateway.backend.BackendTable;
 import org.lockdale.gateway.caller.CallerRequest;
-import org.lockdale.gateway.life.LifeEvidence;
+import org.lockdale.gateway.life.LivenessEvidence;
 import org.lockdale.http.Reachability;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -38,7 +38,7 @@
 
   private static final int BACKENDS = 4;
   private static final long SOON_MILLIS = 50;
-  private static final long RECORD_MILLIS = LifeEvidence.RECORD_EXPIRY_MILLIS + 500;
+  private static final long RECORD_MILLIS = LivenessEvidence.RECORD_EXPIRY_MILLIS + 500;
 
   private final List<Suspect> broadcast = new ArrayList<>();
   private VirtualTime time;
@@ -97,7 +97,7 @@
   }
 
   private void lose(int backend, LostAttempt.Loss loss) {
-    quarantine.lost(
+    quarantine.attemptLost(
         new LostAttempt(idOf(backend), addressOf(backend), request(), "tenant", 0, loss, 0));
   }
 
@@ -109,7 +109,7 @@
   }
 
   private boolean isQuarantined() {
-    return quarantine.held(request(), "tenant").isPresent();
+    return quarantine.quarantined(request(), "tenant").isPresent();
   }
 
   @Test
@@ -178,7 +178,7 @@
   @Test
   public void aCrashAfterTheBackendWasLastKnownAliveStaysCounted() {
     lose(0, LostAttempt.Loss.CLOSED);
-    time.runMillis(LifeEvidence.RECORD_EXPIRY_MILLIS - 2_000);
+    time.runMillis(LivenessEvidence.RECORD_EXPIRY_MILLIS - 2_000);
     loseAtThree(LostAttempt.Loss.CLOSED);
     time.runMillis(4_000);
     assertTrue(isQuarantined(), "the records show only that the first loss was no crash");
@@ -228,7 +228,7 @@
     String next = "i-0@2";
     backends =
         backends.with(List.of(new Backend(next, "pool", addressOf(0), "zone", 4, false, Map.of())));
-    quarantine.lost(
+    quarantine.attemptLost(
         new LostAttempt(
             idOf(0), addressOf(0), request(), "tenant", 104, LostAttempt.Loss.SILENT, 0));
     time.runMillis(SOON_MILLIS);
@@ -236,7 +236,7 @@
   }
 
   private void loseOverConnectionOf(long connectedAtMillis) {
-    quarantine.lost(
+    quarantine.attemptLost(
         new LostAttempt(
             idOf(0),
             addressOf(0),
@@ -250,7 +250,7 @@
 
   private Set<String> broadcastCrashes() {
     Set<String> crashes = new TreeSet<>();
-    broadcast.forEach(suspect -> crashes.addAll(suspect.ends().keySet()));
+    broadcast.forEach(suspect -> crashes.addAll(suspect.crashes().keySet()));
     return crashes;
   }
 
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectLedgerTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectLedgerTest.java
@@ -30,9 +30,9 @@
   }
 
   private static Suspect suspect(int number, boolean early, String... backends) {
-    Map<String, SuspectEnd> crashes = new HashMap<>();
+    Map<String, CrashInvolvement> crashes = new HashMap<>();
     for (String backend : backends) {
-      crashes.put(backend, new SuspectEnd(early, false));
+      crashes.put(backend, new CrashInvolvement(early, false));
     }
     return new Suspect(fingerprint(number), number, crashes);
   }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectRecorderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectRecorderTest.java
@@ -54,9 +54,9 @@
   }
 
   private static Suspect suspect(int number, String... backends) {
-    Map<String, SuspectEnd> crashes = new HashMap<>();
+    Map<String, CrashInvolvement> crashes = new HashMap<>();
     for (String backend : backends) {
-      crashes.put(backend, new SuspectEnd(true, false));
+      crashes.put(backend, new CrashInvolvement(true, false));
     }
     return new Suspect(new RequestFingerprint(number, number), number, crashes);
   }
@@ -93,7 +93,7 @@
 
   @Test
   public void aSingleCrashUnderALongRunningAnswerIsNotRecorded() {
-    Map<String, SuspectEnd> late = Map.of("a", new SuspectEnd(false, false));
+    Map<String, CrashInvolvement> late = Map.of("a", new CrashInvolvement(false, false));
     learn(new Suspect(new RequestFingerprint(1, 1), 1, late));
     recorder.markSeenLocally(new RequestFingerprint(1, 1));
     tickFor(2_000);
