--- a/gateway/src/main/java/org/lockdale/gateway/cluster/ClusterTable.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/ClusterTable.java
@@ -20,19 +20,19 @@
   /**
    * Writes when the target versions of a model were set, in place of the earlier row of the model.
    */
-  CompletableFuture<@Nullable Void> record(RecordedWeights weights);
+  CompletableFuture<@Nullable Void> writeTargetVersions(RecordedTargetVersions weights);
 
   /**
    * Parses the row with the target versions of a model; empty if the row is of another kind.
    *
    * @throws org.lockdale.gateway.table.MalformedRecordException if the row is malformed
    */
-  Optional<RecordedWeights> weights(TableRowChange row);
+  Optional<RecordedTargetVersions> parseTargetVersions(TableRowChange row);
 
   /**
    * Parses the row with the address of a node; empty if the row is of another kind.
    *
    * @throws org.lockdale.gateway.table.MalformedRecordException if the row is malformed
    */
-  Optional<PeerNode> node(TableRowChange row);
+  Optional<PeerNode> parseNode(TableRowChange row);
 }
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/NodeListener.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/DatagramDispatcher.java
@@ -37,7 +37,7 @@
  * @param onDraining receives the id of the sender and the text forms of backend incarnations that
  *     are draining
  */
-public record NodeListener(
+public record DatagramDispatcher(
     RelayController relays,
     ReportReceiver reports,
     PlacementResponder responder,
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/DatagramExchange.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/DatagramExchange.java
@@ -114,7 +114,7 @@
   }
 
   /** Sends a message about the rates of backends; nodes of an earlier version ignore it. */
-  public void sendOfRates(Collection<InetSocketAddress> receivers, Message body) {
+  public void sendRateMessage(Collection<InetSocketAddress> receivers, Message body) {
     if (!receivers.isEmpty()) {
       sendBytes(
           receivers,
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/LimitClient.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/LimitClient.java
@@ -101,7 +101,7 @@
   }
 
   /** Sets whether this node lends its shares; without limits there is nothing to lend. */
-  public void lend(boolean wanted) {
+  public void setLending(boolean wanted) {
     lending = wanted;
     renewLoans();
   }
@@ -186,7 +186,7 @@
         .eventLoop()
         .schedule(
             () -> onTimeout(number, limitRelay),
-            PlacementClient.ANSWER_TIME.toMillis(),
+            PlacementClient.ANSWER_TIMEOUT.toMillis(),
             TimeUnit.MILLISECONDS);
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/NodeRegistry.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/NodeRegistry.java
@@ -55,11 +55,11 @@
 
   /** Starts the announcements: after the first read of the table, or after a timeout. */
   public void start() {
-    eventLoop.schedule(this::tableRead, FIRST_READ_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+    eventLoop.schedule(this::onTableRead, FIRST_READ_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Called on the event loop after all rows of the table were passed to {@link #observed}. */
-  public void tableRead() {
+  /** Called on the event loop after all rows of the table were passed to {@link #onNodeRow}. */
+  public void onTableRead() {
     boolean isRowLost = rowMayBeLost && !ownRowRead;
     ownRowRead = false;
     rowMayBeLost = false;
@@ -84,7 +84,7 @@
    * Called on the event loop when the store was restored from an older copy, which may lack the row
    * of this node; the next read of the table shows whether it does.
    */
-  public void historyReplaced() {
+  public void onHistoryReplaced() {
     rowMayBeLost = true;
   }
 
@@ -114,7 +114,7 @@
   }
 
   /** Processes the row of a node. */
-  public void observed(PeerNode node, long rowVersion) {
+  public void onNodeRow(PeerNode node, long rowVersion) {
     if (node.id().equals(self.id())) {
       isRowCurrent = node.address().equals(self.address()) && node.linkMbps() == self.linkMbps();
       ownRowRead = true;
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/NodeReporter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/NodeReporter.java
@@ -100,7 +100,7 @@
   }
 
   /** Adds a note that an engine will soon hold parts of prompts. */
-  public void expect(String engine, List<Long> parts) {
+  public void noteExpectedParts(String engine, List<Long> parts) {
     note(expectations, new ExpectedParts(engine, parts));
   }
 
@@ -110,12 +110,12 @@
   }
 
   /** Adds a note on the state of an engine in a rollout. */
-  public void moved(EngineMove move) {
+  public void noteMove(EngineMove move) {
     note(moves, new EngineMoveRecord(move.engine(), move.model(), move.version(), move.moving()));
   }
 
   /** Records that a request placed by a relay counts in the reported load from now on. */
-  public void opened(String relay, long placement) {
+  public void noteOpened(String relay, long placement) {
     latestPlacements.merge(relay, placement, Math::max);
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/PeerNotices.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/PeerBroadcaster.java
@@ -14,21 +14,21 @@
  * @param nodes registry of the other nodes
  * @param datagrams sends the notices
  */
-public record PeerNotices(NodeRegistry nodes, DatagramExchange datagrams) {
+public record PeerBroadcaster(NodeRegistry nodes, DatagramExchange datagrams) {
 
   /** Broadcasts requests during which backends crashed. */
-  public void suspects(List<Suspect> suspects) {
+  public void broadcastSuspects(List<Suspect> suspects) {
     datagrams.send(
         peerAddresses(), new SuspectReport(suspects.stream().map(SuspectMessages::write).toList()));
   }
 
   /** Broadcasts that an incarnation of a backend has ended, given by its text form. */
-  public void lifeOver(String incarnation) {
+  public void broadcastIncarnationEnd(String incarnation) {
     datagrams.sendNotice(peerAddresses(), new LifeOverNotice(List.of(incarnation)));
   }
 
   /** Broadcasts that incarnations of backends are draining, given by their text forms. */
-  public void leaving(List<String> incarnations) {
+  public void broadcastDraining(List<String> incarnations) {
     datagrams.sendDrainMessage(peerAddresses(), new LeavingNotice(incarnations));
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/PlacementClient.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/PlacementClient.java
@@ -44,7 +44,7 @@
    * How long to wait for an answer. A relay in another zone answers within a few milliseconds; one
    * that is paused does not.
    */
-  public static final Duration ANSWER_TIME = Duration.ofMillis(40);
+  public static final Duration ANSWER_TIMEOUT = Duration.ofMillis(40);
 
   /** Unanswered questions in a row after which a relay is no longer asked. */
   private static final int MAX_UNANSWERED_QUESTIONS = 3;
@@ -323,7 +323,7 @@
   public void opened(Placement placement) {
     Placement.Origin origin = placement.origin();
     if (origin != null) {
-      context.reporter().opened(origin.relay(), origin.number());
+      context.reporter().noteOpened(origin.relay(), origin.number());
     }
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/PlacementResponder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/PlacementResponder.java
@@ -52,12 +52,12 @@
     if (result instanceof PlacementResult.RetryLater notNow) {
       // A node of an earlier version ignores this message and uses the answer that follows; others
       // use whichever arrives first.
-      datagrams.sendOfRates(
+      datagrams.sendRateMessage(
           List.of(address), new PlacementDelay(question.getNumber(), notNow.waitMillis()));
     }
     if (result instanceof PlacementResult.Placed placed
         && decider.countsTowardsRateLimit(placed.placement().target())) {
-      datagrams.sendOfRates(List.of(address), new RateGrant(question.getNumber()));
+      datagrams.sendRateMessage(List.of(address), new RateGrant(question.getNumber()));
     }
     datagrams.send(
         address,
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/RecordedWeights.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/RecordedTargetVersions.java
@@ -7,13 +7,13 @@
  * written to the shared table for nodes that start later.
  *
  * @param model name of the model
- * @param namings the newest target versions, the newest last
+ * @param entries the newest target versions, the newest last
  */
-public record RecordedWeights(String model, List<Naming> namings) {
+public record RecordedTargetVersions(String model, List<Entry> entries) {
 
   /** Copies the list. */
-  public RecordedWeights {
-    namings = List.copyOf(namings);
+  public RecordedTargetVersions {
+    entries = List.copyOf(entries);
   }
 
   /**
@@ -22,5 +22,5 @@
    * @param version the version
    * @param notBeforeStoreMillis time by the store's clock before which it was not the target
    */
-  public record Naming(long version, long notBeforeStoreMillis) {}
+  public record Entry(long version, long notBeforeStoreMillis) {}
 }
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/RelayController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/RelayController.java
@@ -127,13 +127,13 @@
    * Returns the ids of the relays that may decide on limits, the most senior first; this node if
    * there is none. To be called on the event loop.
    */
-  public List<String> deciders() {
-    return election.deciders(ShareLender.TERM_MILLIS, time.monotonicMillis());
+  public List<String> limitRelays() {
+    return election.limitRelays(ShareLender.TERM_MILLIS, time.monotonicMillis());
   }
 
   /** Called on the event loop when a relay does not answer. */
-  public void failed(RelayElection.Relay relay) {
-    silent(relay.id());
+  public void markUnresponsive(RelayElection.Relay relay) {
+    markUnresponsiveById(relay.id());
   }
 
   /**
@@ -141,9 +141,9 @@
    *
    * @param relay id of the relay
    */
-  public void silent(String relay) {
+  public void markUnresponsiveById(String relay) {
     long now = time.monotonicMillis();
-    election.failed(relay, now);
+    election.markUnresponsive(relay, now);
     publish(now);
   }
 
@@ -151,7 +151,7 @@
   public void onHeartbeat(String sender, InetSocketAddress address, RelayHeartbeat heartbeat) {
     long now = time.monotonicMillis();
     if (heartbeat.getRetiring()) {
-      election.retired(sender);
+      election.onRetired(sender);
       publish(now);
       return;
     }
@@ -165,7 +165,7 @@
           address,
           new TableProof(proof.getTable(), proof.getLastChange(), proof.getStoreMillis()));
     }
-    election.heard(sender, address, heartbeat.getServingSince(), provenAt, now);
+    election.onHeartbeat(sender, address, heartbeat.getServingSince(), provenAt, now);
     publish(now);
   }
 
@@ -177,7 +177,7 @@
             .thenAccept(
                 current -> {
                   if (!current) {
-                    election.failed(sender, time.monotonicMillis());
+                    election.markUnresponsive(sender, time.monotonicMillis());
                   }
                 });
       }
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/RelayElection.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/RelayElection.java
@@ -111,19 +111,19 @@
    *     monotonic clock of this node
    * @param nowMillis monotonic time
    */
-  public void heard(
+  public void onHeartbeat(
       String id, InetSocketAddress address, long sinceMillis, long provenAtMillis, long nowMillis) {
     Relay relay = new Relay(id, address, sinceMillis);
     lastHeartbeats.put(id, new Heartbeat(relay, nowMillis, provenAtMillis));
   }
 
   /** Called when a relay has announced that it retires. */
-  public void retired(String id) {
+  public void onRetired(String id) {
     lastHeartbeats.remove(id);
   }
 
   /** Called when a relay did not answer. */
-  public void failed(String id, long nowMillis) {
+  public void markUnresponsive(String id, long nowMillis) {
     excludedUntil.put(id, nowMillis + EXCLUSION_MILLIS);
   }
 
@@ -240,7 +240,7 @@
    * @param maxSilenceMillis longest time since a relay's last heartbeat
    * @param nowMillis monotonic time
    */
-  public List<String> deciders(long maxSilenceMillis, long nowMillis) {
+  public List<String> limitRelays(long maxSilenceMillis, long nowMillis) {
     List<Relay> candidates = eligible(maxSilenceMillis, nowMillis);
     if (serving || candidates.isEmpty()) {
       candidates.add(new Relay(selfId, UNUSED_ADDRESS, servingSinceMillis));
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/SuspectCatchUp.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/SuspectListClient.java
@@ -27,7 +27,7 @@
  * to the nodes that were running at the time, and is forgotten when they stop unless nodes that
  * start learn of it from them. Runs on one event loop.
  */
-public final class SuspectCatchUp {
+public final class SuspectListClient {
 
   /** Two, since the node that is asked may have just started as well. */
   private static final int WANTED_ANSWERS = 2;
@@ -54,7 +54,7 @@
    * @param peers supplies the other nodes, empty while they are unknown
    * @param onSuspects receives the suspects that other nodes know, on the event loop
    */
-  public SuspectCatchUp(
+  public SuspectListClient(
       EventLoop eventLoop,
       HttpClient client,
       Supplier<List<PeerNode>> peers,
--- a/gateway/src/main/java/org/lockdale/gateway/node/ClusterObserver.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/ClusterObserver.java
@@ -6,7 +6,7 @@
 import org.lockdale.gateway.cluster.ClusterTable;
 import org.lockdale.gateway.cluster.NodeRegistry;
 import org.lockdale.gateway.cluster.PeerNode;
-import org.lockdale.gateway.cluster.RecordedWeights;
+import org.lockdale.gateway.cluster.RecordedTargetVersions;
 import org.lockdale.gateway.quarantine.Suspect;
 import org.lockdale.gateway.quarantine.SuspectAttempt;
 import org.lockdale.gateway.quarantine.SuspectTable;
@@ -23,7 +23,7 @@
   private record VersionedNode(PeerNode node, long rowVersion) {}
 
   private final RowReader<VersionedNode> nodeReader;
-  private final RowReader<RecordedWeights> weightsReader;
+  private final RowReader<RecordedTargetVersions> weightsReader;
   private final RowReader<Suspect> suspectReader;
   private final RowReader<SuspectAttempt> attemptReader;
   private final NodeRegistry nodes;
@@ -40,8 +40,8 @@
       OperatorController operators,
       BiConsumer<List<Suspect>, List<SuspectAttempt>> onSuspects) {
     this.nodeReader =
-        new RowReader<>(row -> table.node(row).map(node -> new VersionedNode(node, row.version())));
-    this.weightsReader = new RowReader<>(table::weights);
+        new RowReader<>(row -> table.parseNode(row).map(node -> new VersionedNode(node, row.version())));
+    this.weightsReader = new RowReader<>(table::parseTargetVersions);
     this.suspectReader = new RowReader<>(suspects::readSuspect);
     this.attemptReader = new RowReader<>(suspects::readAttempt);
     this.onSuspects = onSuspects;
@@ -53,7 +53,7 @@
   @Override
   public void onHistoryReplaced() {
     historyReplaced = true;
-    nodes.historyReplaced();
+    nodes.onHistoryReplaced();
   }
 
   @Override
@@ -61,17 +61,17 @@
     if (!changed) {
       return;
     }
-    nodeReader.read(rows).forEach(read -> nodes.observed(read.node(), read.rowVersion()));
-    List<RecordedWeights> recorded = weightsReader.read(rows);
+    nodeReader.read(rows).forEach(read -> nodes.onNodeRow(read.node(), read.rowVersion()));
+    List<RecordedTargetVersions> recorded = weightsReader.read(rows);
     if (historyReplaced) {
       historyReplaced = false;
       recorder.onHistoryReplaced(recorded);
     }
-    for (RecordedWeights row : recorded) {
+    for (RecordedTargetVersions row : recorded) {
       operators.onObservedByPeers(row.model(), recorder.observe(row));
     }
     onSuspects.accept(suspectReader.read(rows), attemptReader.read(rows));
     nodes.refresh();
-    nodes.tableRead();
+    nodes.onTableRead();
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/node/ClusterServices.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/ClusterServices.java
@@ -13,17 +13,17 @@
 import org.lockdale.gateway.cache.CacheDirectory;
 import org.lockdale.gateway.cache.CachePlanner;
 import org.lockdale.gateway.cluster.DatagramExchange;
-import org.lockdale.gateway.cluster.NodeListener;
+import org.lockdale.gateway.cluster.DatagramDispatcher;
 import org.lockdale.gateway.cluster.NodeRegistry;
 import org.lockdale.gateway.cluster.NodeReporter;
 import org.lockdale.gateway.cluster.PeerLoads;
 import org.lockdale.gateway.cluster.PeerNode;
-import org.lockdale.gateway.cluster.PeerNotices;
+import org.lockdale.gateway.cluster.PeerBroadcaster;
 import org.lockdale.gateway.cluster.PlacementClient;
 import org.lockdale.gateway.cluster.PlacementResponder;
 import org.lockdale.gateway.cluster.RelayController;
 import org.lockdale.gateway.cluster.ReportReceiver;
-import org.lockdale.gateway.cluster.SuspectCatchUp;
+import org.lockdale.gateway.cluster.SuspectListClient;
 import org.lockdale.gateway.cluster.TableSliceClient;
 import org.lockdale.gateway.limit.TenantLimiter;
 import org.lockdale.gateway.placement.BackendChooser;
@@ -66,7 +66,7 @@
   private final BackendController backends;
   private final LimitServices limits;
   private final Quarantine quarantine;
-  private final SuspectCatchUp suspectCatchUp;
+  private final SuspectListClient suspectCatchUp;
   private final IncarnationServices incarnations;
   private final SuspensionLog suspensions;
 
@@ -133,20 +133,20 @@
         new PlacementDecider(
             blackboard,
             new BackendChooser(peerLoads),
-            new CachePlanner(cacheDirectory, reporter::expect),
+            new CachePlanner(cacheDirectory, reporter::noteExpectedParts),
             new WeightsPolicy(settings.get(GatewaySettings.WEIGHTS_BOUND).toMillis()),
             limits.rates());
     placements =
-        new PlacementClient(placementContext(), PlacementClient.ANSWER_TIME, relays::failed);
+        new PlacementClient(placementContext(), PlacementClient.ANSWER_TIMEOUT, relays::markUnresponsive);
     quarantine =
         new Quarantine(
             quarantineContext(protocols, controlClient),
             blackboard.suspects(),
             settings.get(GatewaySettings.QUARANTINE_HOLD).toMillis());
-    suspectCatchUp = new SuspectCatchUp(eventLoop, controlClient, nodes::peers, quarantine::receive);
+    suspectCatchUp = new SuspectListClient(eventLoop, controlClient, nodes::peers, quarantine::receive);
     incarnations =
         IncarnationServices.of(
-            eventLoop, protocols.engines(), blackboard, new PeerNotices(nodes, datagrams), time);
+            eventLoop, protocols.engines(), blackboard, new PeerBroadcaster(nodes, datagrams), time);
   }
 
   private OperatorController operators(
@@ -188,8 +188,8 @@
         selfId,
         incarnation,
         datagrams,
-        () -> relays.deciders(),
-        relay -> relays.silent(relay),
+        () -> relays.limitRelays(),
+        relay -> relays.markUnresponsiveById(relay),
         () -> relays.coordinator(),
         this::isCoordinator,
         () -> relays.relays(),
@@ -203,7 +203,7 @@
         client::probe,
         () -> blackboard.backends().snapshot(),
         protocols.suspects(),
-        new PeerNotices(nodes, datagrams)::suspects,
+        new PeerBroadcaster(nodes, datagrams)::broadcastSuspects,
         this::isCoordinator,
         time);
   }
@@ -273,7 +273,7 @@
             () -> blackboard.backends().value(), peerLoads, time, this::onMove, this::expectParts);
     PlacementResponder responder = new PlacementResponder(datagrams, decider, peerLoads, time);
     datagrams.start(
-        new NodeListener(
+        new DatagramDispatcher(
             relays,
             reports,
             responder,
@@ -320,7 +320,7 @@
   /** Applies a change of an engine's state in a rollout and reports it to the relays. */
   void announce(EngineMove move) {
     onMove(move);
-    reporter.moved(move);
+    reporter.noteMove(move);
   }
 
   /** Returns the number of prompt tokens queued at an engine by the requests of all nodes. */
--- a/gateway/src/main/java/org/lockdale/gateway/node/IncarnationServices.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/IncarnationServices.java
@@ -3,7 +3,7 @@
 import io.netty.channel.EventLoop;
 import org.lockdale.coordination.time.Time;
 import org.lockdale.gateway.blackboard.GatewayBlackboard;
-import org.lockdale.gateway.cluster.PeerNotices;
+import org.lockdale.gateway.cluster.PeerBroadcaster;
 import org.lockdale.gateway.drain.BackendAnnouncements;
 import org.lockdale.gateway.drain.DrainingBackends;
 import org.lockdale.gateway.life.IncarnationMonitor;
@@ -32,13 +32,13 @@
       EventLoop eventLoop,
       EngineControl engines,
       GatewayBlackboard blackboard,
-      PeerNotices notices,
+      PeerBroadcaster notices,
       Time time) {
     DrainingBackends drainingBackends =
-        new DrainingBackends(() -> blackboard.backends().value(), notices::leaving, time);
+        new DrainingBackends(() -> blackboard.backends().value(), notices::broadcastDraining, time);
     return new IncarnationServices(
         new IncarnationMonitor(
-            eventLoop, engines, () -> blackboard.backends().value(), notices::lifeOver, time),
+            eventLoop, engines, () -> blackboard.backends().value(), notices::broadcastIncarnationEnd, time),
         new BackendAnnouncements(drainingBackends, time),
         drainingBackends);
   }
--- a/gateway/src/main/java/org/lockdale/gateway/node/LimitServices.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/LimitServices.java
@@ -110,7 +110,7 @@
                 cluster.selfId(),
                 cluster.incarnation(),
                 eventLoop,
-                cluster.datagrams()::sendOfRates,
+                cluster.datagrams()::sendRateMessage,
                 cluster.coordinator(),
                 cluster.isCoordinator(),
                 cluster.relays(),
@@ -128,7 +128,7 @@
    */
   void maintain(Set<String> backends) {
     responder.refresh();
-    client.lend(!blackboard.configuration().value().tenantLimits().isEmpty());
+    client.setLending(!blackboard.configuration().value().tenantLimits().isEmpty());
     rates.tick(backends);
     rateExchange.tick();
   }
--- a/gateway/src/main/java/org/lockdale/gateway/node/TargetVersionRecorder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/TargetVersionRecorder.java
@@ -13,7 +13,7 @@
 import org.lockdale.coordination.blackboard.Section;
 import org.lockdale.coordination.time.Time;
 import org.lockdale.gateway.cluster.ClusterTable;
-import org.lockdale.gateway.cluster.RecordedWeights;
+import org.lockdale.gateway.cluster.RecordedTargetVersions;
 import org.lockdale.gateway.table.StoreClock;
 import org.lockdale.gateway.weights.TargetVersion;
 import org.lockdale.gateway.weights.TargetWeights;
@@ -75,11 +75,11 @@
   }
 
   /** Processes a row of the table and returns its versions with times of this node's clock. */
-  List<TargetVersion> observe(RecordedWeights row) {
+  List<TargetVersion> observe(RecordedTargetVersions row) {
     long now = time.monotonicMillis();
     TreeMap<Long, Long> known = recordedOf(row.model());
     List<TargetVersion> versions = new ArrayList<>();
-    for (RecordedWeights.Naming naming : row.namings()) {
+    for (RecordedTargetVersions.Entry naming : row.entries()) {
       known.put(naming.version(), naming.notBeforeStoreMillis());
       // A version can't have been set after it was read, whatever time the writer recorded.
       long notBefore = Math.min(now, clock.localMillis(naming.notBeforeStoreMillis()));
@@ -93,11 +93,11 @@
    *
    * @param rows records that the store holds now
    */
-  void onHistoryReplaced(List<RecordedWeights> rows) {
+  void onHistoryReplaced(List<RecordedTargetVersions> rows) {
     recorded.clear();
     rows.forEach(
         row ->
-            row.namings()
+            row.entries()
                 .forEach(
                     naming ->
                         recordedOf(row.model())
@@ -133,11 +133,11 @@
     while (times.size() > MAX_RECORDED) {
       times.pollFirstEntry();
     }
-    List<RecordedWeights.Naming> namings = new ArrayList<>();
-    times.forEach((version, store) -> namings.add(new RecordedWeights.Naming(version, store)));
+    List<RecordedTargetVersions.Entry> namings = new ArrayList<>();
+    times.forEach((version, store) -> namings.add(new RecordedTargetVersions.Entry(version, store)));
     writing.add(model);
     table
-        .record(new RecordedWeights(model, namings))
+        .writeTargetVersions(new RecordedTargetVersions(model, namings))
         .whenCompleteAsync((done, failure) -> onWritten(model, times, failure), eventLoop);
   }
 
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/EmptyClusterTable.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/EmptyClusterTable.java
@@ -21,17 +21,17 @@
   }
 
   @Override
-  public CompletableFuture<@Nullable Void> record(RecordedWeights weights) {
+  public CompletableFuture<@Nullable Void> writeTargetVersions(RecordedTargetVersions weights) {
     return CompletableFuture.completedFuture(null);
   }
 
   @Override
-  public Optional<RecordedWeights> weights(TableRowChange row) {
+  public Optional<RecordedTargetVersions> parseTargetVersions(TableRowChange row) {
     return Optional.empty();
   }
 
   @Override
-  public Optional<PeerNode> node(TableRowChange row) {
+  public Optional<PeerNode> parseNode(TableRowChange row) {
     return Optional.empty();
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/NodeRegistryTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/NodeRegistryTest.java
@@ -58,10 +58,10 @@
         .submit(
             () -> {
               for (PeerNode row : rows) {
-                registry.observed(row, 7);
+                registry.onNodeRow(row, 7);
               }
-              registry.tableRead();
-              registry.tableRead();
+              registry.onTableRead();
+              registry.onTableRead();
             })
         .syncUninterruptibly();
     return announcements.get();
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/NodeReporterTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/NodeReporterTest.java
@@ -152,7 +152,7 @@
     await(() -> relayLoads.at("i-1").openRequests() == 1);
     relayLoads.recordPlacement("node-1", 7, "i-1", 600);
     BackendLoad.Share opened = senderLoad().open(600, 900);
-    sender.opened("node-2", 7);
+    sender.noteOpened("node-2", 7);
     BackendLoad.Share other = sendersTable.find("i-2").load().open(100, 100);
     sender.workChanged();
     await(() -> relayLoads.at("i-2").openRequests() == 1);
@@ -162,10 +162,10 @@
 
   @Test
   public void expectedPartsAndMovesAreReported() throws InterruptedException {
-    sender.expect("i-1", List.of(7L, 8L));
+    sender.noteExpectedParts("i-1", List.of(7L, 8L));
     assertEquals(expected.poll(10, TimeUnit.SECONDS), "i-1[7, 8]");
     EngineMove move = new EngineMove("i-1", "model", 3, true);
-    sender.moved(move);
+    sender.noteMove(move);
     assertEquals(moves.poll(10, TimeUnit.SECONDS), move);
   }
 
@@ -189,7 +189,7 @@
     sender.concluded("i-1", AttemptVerdict.REJECTED);
     await(() -> relaysTable.find("i-1").health().isEjected(before));
     sender.concluded("i-1", AttemptVerdict.SUCCEEDED);
-    sender.expect("i-1", List.of(7L));
+    sender.noteExpectedParts("i-1", List.of(7L));
     await(() -> !expected.isEmpty());
     assertTrue(relaysTable.find("i-1").health().isEjected(before));
   }
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/RateSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/RateSimulation.java
@@ -165,7 +165,7 @@
     }
 
     private void onHeartbeat(Node relay, RelayHeartbeat heartbeat) {
-      election.heard(
+      election.onHeartbeat(
           relay.id,
           relay.peer.address(),
           heartbeat.getServingSince(),
@@ -275,7 +275,7 @@
     private void onTimeout(Node relay, boolean isRepeat) {
       if (++unansweredQuestions >= MAX_UNANSWERED_QUESTIONS) {
         unansweredQuestions = 0;
-        election.failed(relay.id, monotonicMillis());
+        election.markUnresponsive(relay.id, monotonicMillis());
       }
       Optional<Node> next =
           election.relays(monotonicMillis()).stream()
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/RelayElectionTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/RelayElectionTest.java
@@ -92,7 +92,7 @@
   private void deliver(Node sender, Node receiver) {
     boolean lost = random.nextInt(100) == 0 || sender.isolated || receiver.isolated;
     if (receiver != sender && receiver.up && !lost) {
-      receiver.election.heard(
+      receiver.election.onHeartbeat(
           sender.id, ADDRESS, sender.election.servingSinceMillis(), sender.provenAtMillis, now);
     }
   }
@@ -268,39 +268,39 @@
     run(5_000);
     Node asking = nodes.stream().filter(node -> !node.election.isServing()).findAny().orElseThrow();
     String first = asking.election.coordinator(now).orElseThrow().id();
-    asking.election.failed(first, now);
+    asking.election.markUnresponsive(first, now);
     assertTrue(!asking.election.coordinator(now).orElseThrow().id().equals(first));
   }
 
   private static RelayElection electionWithHeartbeats(
       long firstProvenAt, long secondProvenAt, long receivedAt) {
     RelayElection election = new RelayElection("node-3", 2_000);
-    election.heard("node-1", ADDRESS, 10, firstProvenAt, receivedAt);
-    election.heard("node-2", ADDRESS, 20, secondProvenAt, receivedAt);
+    election.onHeartbeat("node-1", ADDRESS, 10, firstProvenAt, receivedAt);
+    election.onHeartbeat("node-2", ADDRESS, 20, secondProvenAt, receivedAt);
     return election;
   }
 
   @Test
   public void theMostSeniorRelayDecidesAndTheOthersFollowIt() {
     RelayElection election = electionWithHeartbeats(5_000, 5_000, 5_000);
-    assertEquals(election.deciders(900, 5_000), List.of("node-1", "node-2"));
-    election.failed("node-1", 5_001);
-    assertEquals(election.deciders(900, 5_001), List.of("node-2"));
+    assertEquals(election.limitRelays(900, 5_000), List.of("node-1", "node-2"));
+    election.markUnresponsive("node-1", 5_001);
+    assertEquals(election.limitRelays(900, 5_001), List.of("node-2"));
   }
 
   @Test
   public void aRelayWithoutTheStoreDecidesForAWhileAndWhereNoneReachesIt() {
     long now = 50_000;
     List<String> both = List.of("node-1", "node-2");
-    assertEquals(electionWithHeartbeats(now - 10_000, now, now).deciders(900, now), both);
+    assertEquals(electionWithHeartbeats(now - 10_000, now, now).limitRelays(900, now), both);
     assertEquals(
-        electionWithHeartbeats(now - 10_001, now, now).deciders(900, now), List.of("node-2"));
-    assertEquals(electionWithHeartbeats(0, 0, now).deciders(900, now), both);
+        electionWithHeartbeats(now - 10_001, now, now).limitRelays(900, now), List.of("node-2"));
+    assertEquals(electionWithHeartbeats(0, 0, now).limitRelays(900, now), both);
   }
 
   @Test
   public void aNodeWithoutRecentHeartbeatsDecidesItself() {
     assertEquals(
-        electionWithHeartbeats(5_000, 5_000, 5_000).deciders(900, 5_900), List.of("node-3"));
+        electionWithHeartbeats(5_000, 5_000, 5_000).limitRelays(900, 5_900), List.of("node-3"));
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/limit/LimitSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/LimitSimulation.java
@@ -195,14 +195,14 @@
     private void onHeartbeat(
         Node relay, long relayIncarnation, long sentAt, long since, long provenWhen, double share) {
       reportedShares.put(relay.id, share);
-      election.heard(relay.id, ADDRESS, since, provenWhen + clockOffset, clock());
+      election.onHeartbeat(relay.id, ADDRESS, since, provenWhen + clockOffset, clock());
       heartbeats.put(
           relay.id, new ShareLender.Heartbeat(relay.id, relayIncarnation, sentAt, clock()));
       lend();
     }
 
     private List<String> limitRelays() {
-      List<String> relays = election.deciders(ShareLender.TERM_MILLIS, clock());
+      List<String> relays = election.limitRelays(ShareLender.TERM_MILLIS, clock());
       return LimitRelaySelector.inOrder(
           relays,
           relay ->
@@ -340,7 +340,7 @@
       }
       if (++silentQuestions >= MAX_SILENT_QUESTIONS) {
         silentQuestions = 0;
-        election.failed(silent.id, clock());
+        election.markUnresponsive(silent.id, clock());
         lend();
       }
       if (question.tries() < MAX_TRIES) {
--- a/gateway/src/test/java/org/lockdale/gateway/node/SuspensionTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/node/SuspensionTest.java
@@ -97,7 +97,7 @@
     RelayElection election = new RelayElection("self", 2_000);
     long now = time.monotonicMillis();
     InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-    election.heard("relay", address, 1, now, now);
+    election.onHeartbeat("relay", address, 1, now, now);
     assertEquals(election.relays(now).size(), 1);
     assertTrue(election.relays(wake()).isEmpty());
   }
--- a/gateway/src/test/java/org/lockdale/gateway/node/TargetVersionRecorderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/node/TargetVersionRecorderTest.java
@@ -13,7 +13,7 @@
 import org.lockdale.coordination.table.TableServiceException;
 import org.lockdale.coordination.time.Time;
 import org.lockdale.gateway.cluster.EmptyClusterTable;
-import org.lockdale.gateway.cluster.RecordedWeights;
+import org.lockdale.gateway.cluster.RecordedTargetVersions;
 import org.lockdale.gateway.table.StoreClock;
 import org.lockdale.gateway.weights.TargetWeights;
 import org.lockdale.gateway.weights.WeightsPolicy;
@@ -36,17 +36,17 @@
 
   /** Collects the records that are written. */
   private static final class RecordingTable extends EmptyClusterTable {
-    private final List<RecordedWeights> written = new ArrayList<>();
+    private final List<RecordedTargetVersions> written = new ArrayList<>();
     private boolean down;
 
     @Override
-    public CompletableFuture<@Nullable Void> record(RecordedWeights weights) {
+    public CompletableFuture<@Nullable Void> writeTargetVersions(RecordedTargetVersions weights) {
       if (down) {
         return CompletableFuture.failedFuture(
             new TableServiceException(TableServiceException.Kind.UNREACHABLE, "the store is down"));
       }
       written.add(weights);
-      return super.record(weights);
+      return super.writeTargetVersions(weights);
     }
   }
 
@@ -99,7 +99,7 @@
   }
 
   private void readRecordOnLateNode() {
-    RecordedWeights row = table.written.get(table.written.size() - 1);
+    RecordedTargetVersions row = table.written.get(table.written.size() - 1);
     late.publish(late.weights.value().withObserved(MODEL, late.recorder.observe(row)));
   }
 
@@ -133,7 +133,7 @@
     observer.publish(observer.weights.value().with(Map.of(MODEL, 3L), 2_500));
     observer.recorder.tick();
     assertEquals(table.written.size(), 2);
-    assertEquals(table.written.get(1).namings().size(), 2);
+    assertEquals(table.written.get(1).entries().size(), 2);
   }
 
   @Test
@@ -162,8 +162,8 @@
   public void aRecordedTimeInTheFutureIsLimitedToNow() {
     late.at(5_000);
     late.publish(TargetWeights.NONE.withEstimate(Map.of(MODEL, 2L), late.monotonicMillis()));
-    RecordedWeights row =
-        new RecordedWeights(MODEL, List.of(new RecordedWeights.Naming(2, 900_000)));
+    RecordedTargetVersions row =
+        new RecordedTargetVersions(MODEL, List.of(new RecordedTargetVersions.Entry(2, 900_000)));
     late.publish(late.weights.value().withObserved(MODEL, late.recorder.observe(row)));
     late.at(5_000 + BOUND);
     assertEquals(late.required(), Long.valueOf(2));
@@ -172,7 +172,7 @@
   @Test
   public void anOlderRowThatArrivesLateCausesNoWrite() {
     observer.recorder.tick();
-    RecordedWeights first = table.written.get(0);
+    RecordedTargetVersions first = table.written.get(0);
     observer.publish(observer.weights.value().with(Map.of(MODEL, 3L), 2_500));
     observer.recorder.tick();
     observer.recorder.observe(first);
@@ -197,8 +197,8 @@
     assertEquals(table.written.size(), 1, "recorded versions are not written again");
     late.publish(late.weights.value().with(Map.of(MODEL, 3L), CLOCK_OFFSET + 9_000));
     late.recorder.tick();
-    assertEquals(table.written.get(1).namings().size(), 2);
-    assertEquals(table.written.get(1).namings().get(0).notBeforeStoreMillis(), 2_000);
+    assertEquals(table.written.get(1).entries().size(), 2);
+    assertEquals(table.written.get(1).entries().get(0).notBeforeStoreMillis(), 2_000);
   }
 
   /**
