--- a/gateway/src/main/java/org/lockdale/gateway/cluster/RelayController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/RelayController.java
@@ -173,7 +173,7 @@
     for (TableFollower follower : followers) {
       if (follower.table().equals(proof.table())) {
         follower
-            .announced(address, proof)
+            .onProofAnnounced(address, proof)
             .thenAccept(
                 current -> {
                   if (!current) {
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/TableSliceClient.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/TableSliceClient.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 import org.lockdale.gateway.table.TablePeers;
-import org.lockdale.gateway.table.TooMuchToTellException;
+import org.lockdale.gateway.table.TransferTooLargeException;
 import org.lockdale.http.HttpClient;
 import org.lockdale.http.HttpReply;
 import org.lockdale.http.HttpRequestMessage;
@@ -39,7 +39,7 @@
 
   private Answer read(String table, HttpReply reply) {
     if (reply.status() == TableSliceHandler.GONE) {
-      throw new TooMuchToTellException(table);
+      throw new TransferTooLargeException(table);
     }
     if (reply.status() != OK) {
       throw new IllegalStateException("unexpected response status " + reply.status());
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/TableSliceHandler.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/TableSliceHandler.java
@@ -83,7 +83,7 @@
       return HttpReply.text(NOT_FOUND, "This node has no copy of the table; ask another node.");
     }
     boolean canReadStore = exchange.path().equals(STORE_FALLBACK_PATH);
-    if (canReadStore && follower.get().hasTooMuchToTellAfter(request.getAfterChange())) {
+    if (canReadStore && follower.get().exceedsTransferLimitAfter(request.getAfterChange())) {
       return HttpReply.text(GONE, "The changes are too many to send; read them from the store.");
     }
     byte[] slice = slices.encode(slice(follower.get(), request));
--- a/gateway/src/main/java/org/lockdale/gateway/table/TableFollower.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/TableFollower.java
@@ -147,7 +147,7 @@
    * Returns whether a node that has all changes up to a version should read the later ones from the
    * store, since they are too large to send to each node. Must be called on the event loop.
    */
-  public boolean hasTooMuchToTellAfter(long version) {
+  public boolean exceedsTransferLimitAfter(long version) {
     return copy.exceedsTransferLimitAfter(version);
   }
 
@@ -166,7 +166,7 @@
    * @return false if reading from the relay failed; true otherwise, also if the announcement was
    *     ignored, as while a read from a relay is in progress
    */
-  public CompletableFuture<Boolean> announced(InetSocketAddress relay, TableProof proof) {
+  public CompletableFuture<Boolean> onProofAnnounced(InetSocketAddress relay, TableProof proof) {
     if (proof.lastChange() < 0 || peerCallOpen || closed) {
       return CompletableFuture.completedFuture(true);
     }
@@ -182,7 +182,7 @@
     return readFrom(relay, copy.lastChange())
         .exceptionallyComposeAsync(
             failure ->
-                Failures.causeOf(failure) instanceof TooMuchToTellException
+                Failures.causeOf(failure) instanceof TransferTooLargeException
                     ? readFromStoreOrRelay(relay)
                     : CompletableFuture.failedFuture(failure),
             eventLoop)
--- a/gateway/src/main/java/org/lockdale/gateway/table/TooMuchToTellException.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/TransferTooLargeException.java
@@ -5,12 +5,12 @@
  * The changes should be read from the store, or the whole copy from the node if the store doesn't
  * respond.
  */
-public final class TooMuchToTellException extends RuntimeException {
+public final class TransferTooLargeException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
   /** Creates an exception for a table. */
-  public TooMuchToTellException(String table) {
+  public TransferTooLargeException(String table) {
     super(
         "the changes of table " + table + " are too large to send; read them from the store",
         null,
--- a/gateway/src/test/java/org/lockdale/gateway/table/TableFollowerTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/table/TableFollowerTest.java
@@ -147,7 +147,7 @@
 
   private boolean announce(TableFollower follower, long lastChange) throws Exception {
     return eventLoop
-        .submit(() -> follower.announced(RELAY, new TableProof("table", lastChange, 1_000)))
+        .submit(() -> follower.onProofAnnounced(RELAY, new TableProof("table", lastChange, 1_000)))
         .get()
         .get(10, TimeUnit.SECONDS);
   }
@@ -172,7 +172,7 @@
     feed.scans.add(page(false, 5, row("a", "1", 1)));
     TableFollower follower = follow(false);
     nextCopy();
-    peerAnswers.add(CompletableFuture.failedFuture(new TooMuchToTellException("table")));
+    peerAnswers.add(CompletableFuture.failedFuture(new TransferTooLargeException("table")));
     feed.changes.add(
         page(false, 9, row("b", "2", 6), new TableRowChange("a", new byte[0], 7, true)));
     assertTrue(announce(follower, 8));
@@ -189,7 +189,7 @@
     TableFollower follower = follow(false);
     nextCopy();
     TableChanges whole = new TableChanges(true, 8, List.of(row("b", "2", 6)));
-    peerAnswers.add(CompletableFuture.failedFuture(new TooMuchToTellException("table")));
+    peerAnswers.add(CompletableFuture.failedFuture(new TransferTooLargeException("table")));
     peerAnswers.add(CompletableFuture.completedFuture(new TablePeers.Answer(whole, 1_100, 3)));
     feed.changes.add(failure(TableServiceException.Kind.UNREACHABLE));
     assertTrue(announce(follower, 8));
