--- a/gateway/src/main/java/org/lockdale/gateway/blackboard/GatewayBlackboard.java
+++ b/gateway/src/main/java/org/lockdale/gateway/blackboard/GatewayBlackboard.java
@@ -4,8 +4,8 @@
 import org.lockdale.gateway.backend.BackendTable;
 import org.lockdale.gateway.configuration.GatewayConfiguration;
 import org.lockdale.gateway.quarantine.Suspects;
-import org.lockdale.gateway.weights.TargetWeights;
 import org.lockdale.gateway.weights.RolloutProgress;
+import org.lockdale.gateway.weights.TargetWeights;
 
 /**
  * The current state of a node, shared between its components as a blackboard. Each section has a
--- a/gateway/src/main/java/org/lockdale/gateway/cache/CachePlanner.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/CachePlanner.java
@@ -68,7 +68,8 @@
    * @param availability availability of the shared parts
    * @param nowMillis monotonic time in milliseconds
    */
-  public MissingPrefix need(TrackedBackend engine, PrefixAvailability availability, long nowMillis) {
+  public MissingPrefix need(
+      TrackedBackend engine, PrefixAvailability availability, long nowMillis) {
     HeldParts held = directory.engine(engine.backend().id());
     return availability.missingFrom(expectedDepth(held, availability.keys(), nowMillis));
   }
--- a/gateway/src/main/java/org/lockdale/gateway/drain/BackendAnnouncements.java
+++ b/gateway/src/main/java/org/lockdale/gateway/drain/BackendAnnouncements.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.atomic.AtomicLong;
 import org.lockdale.coordination.time.Time;
-import org.lockdale.gateway.backend.ResponseHead;
 import org.lockdale.gateway.backend.RequestedBackoff;
+import org.lockdale.gateway.backend.ResponseHead;
 import org.lockdale.gateway.backend.TrackedBackend;
 import org.tinylog.Logger;
 
--- a/gateway/src/main/java/org/lockdale/gateway/drain/DrainingBackends.java
+++ b/gateway/src/main/java/org/lockdale/gateway/drain/DrainingBackends.java
@@ -52,7 +52,8 @@
    *     forms
    * @param time clock
    */
-  public DrainingBackends(Supplier<BackendTable> backends, Consumer<List<String>> notifyOthers, Time time) {
+  public DrainingBackends(
+      Supplier<BackendTable> backends, Consumer<List<String>> notifyOthers, Time time) {
     this.backends = backends;
     this.notifyOthers = notifyOthers;
     this.time = time;
--- a/gateway/src/main/java/org/lockdale/gateway/life/IncarnationOrder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/life/IncarnationOrder.java
@@ -37,7 +37,8 @@
    * @param isOver whether an incarnation is known to be over
    * @param nowMillis monotonic time
    */
-  public List<Backend> selectRecords(Collection<Backend> read, Predicate<Backend> isOver, long nowMillis) {
+  public List<Backend> selectRecords(
+      Collection<Backend> read, Predicate<Backend> isOver, long nowMillis) {
     Map<String, Backend> next = new HashMap<>();
     for (Backend record : read) {
       String server = record.incarnation().server();
--- a/gateway/src/main/java/org/lockdale/gateway/limit/ShareLender.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/ShareLender.java
@@ -27,7 +27,8 @@
    * @param sentAtMillis time at which it was sent, by the relay's clock
    * @param receivedAtMillis time at which it was received, by this node's clock
    */
-  public record Heartbeat(String relay, long incarnation, long sentAtMillis, long receivedAtMillis) {}
+  public record Heartbeat(
+      String relay, long incarnation, long sentAtMillis, long receivedAtMillis) {}
 
   private @Nullable Heartbeat lent;
   private long lentUntilMillis;
--- a/gateway/src/main/java/org/lockdale/gateway/node/BackendsHandler.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/BackendsHandler.java
@@ -58,7 +58,10 @@
   }
 
   private String rateOf(String backend) {
-    return rates.advertisedRate(backend).map(rate -> Double.toString(rate.perSecond())).orElse("none");
+    return rates
+        .advertisedRate(backend)
+        .map(rate -> Double.toString(rate.perSecond()))
+        .orElse("none");
   }
 
   @Override
--- a/gateway/src/main/java/org/lockdale/gateway/node/ClusterObserver.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/ClusterObserver.java
@@ -40,7 +40,8 @@
       OperatorController operators,
       BiConsumer<List<Suspect>, List<SuspectAttempt>> onSuspects) {
     this.nodeReader =
-        new RowReader<>(row -> table.parseNode(row).map(node -> new VersionedNode(node, row.version())));
+        new RowReader<>(
+            row -> table.parseNode(row).map(node -> new VersionedNode(node, row.version())));
     this.weightsReader = new RowReader<>(table::parseTargetVersions);
     this.suspectReader = new RowReader<>(suspects::readSuspect);
     this.attemptReader = new RowReader<>(suspects::readAttempt);
--- a/gateway/src/main/java/org/lockdale/gateway/node/ClusterServices.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/ClusterServices.java
@@ -12,13 +12,13 @@
 import org.lockdale.gateway.blackboard.GatewayBlackboard;
 import org.lockdale.gateway.cache.CacheDirectory;
 import org.lockdale.gateway.cache.CachePlanner;
-import org.lockdale.gateway.cluster.DatagramExchange;
 import org.lockdale.gateway.cluster.DatagramDispatcher;
+import org.lockdale.gateway.cluster.DatagramExchange;
 import org.lockdale.gateway.cluster.NodeRegistry;
 import org.lockdale.gateway.cluster.NodeReporter;
+import org.lockdale.gateway.cluster.PeerBroadcaster;
 import org.lockdale.gateway.cluster.PeerLoads;
 import org.lockdale.gateway.cluster.PeerNode;
-import org.lockdale.gateway.cluster.PeerBroadcaster;
 import org.lockdale.gateway.cluster.PlacementClient;
 import org.lockdale.gateway.cluster.PlacementResponder;
 import org.lockdale.gateway.cluster.RelayController;
@@ -137,16 +137,22 @@
             new WeightsPolicy(settings.get(GatewaySettings.WEIGHTS_BOUND).toMillis()),
             limits.rates());
     placements =
-        new PlacementClient(placementContext(), PlacementClient.ANSWER_TIMEOUT, relays::markUnresponsive);
+        new PlacementClient(
+            placementContext(), PlacementClient.ANSWER_TIMEOUT, relays::markUnresponsive);
     quarantine =
         new Quarantine(
             quarantineContext(protocols, controlClient),
             blackboard.suspects(),
             settings.get(GatewaySettings.QUARANTINE_HOLD).toMillis());
-    suspectCatchUp = new SuspectListClient(eventLoop, controlClient, nodes::peers, quarantine::receive);
+    suspectCatchUp =
+        new SuspectListClient(eventLoop, controlClient, nodes::peers, quarantine::receive);
     incarnations =
         IncarnationServices.of(
-            eventLoop, protocols.engines(), blackboard, new PeerBroadcaster(nodes, datagrams), time);
+            eventLoop,
+            protocols.engines(),
+            blackboard,
+            new PeerBroadcaster(nodes, datagrams),
+            time);
   }
 
   private OperatorController operators(
--- a/gateway/src/main/java/org/lockdale/gateway/node/IncarnationServices.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/IncarnationServices.java
@@ -17,7 +17,8 @@
  * @param announcements processes announcements that a backend is draining or requests a backoff
  * @param draining remembers incarnations that are draining
  */
-record IncarnationServices(IncarnationMonitor monitor, BackendAnnouncements announcements, DrainingBackends draining) {
+record IncarnationServices(
+    IncarnationMonitor monitor, BackendAnnouncements announcements, DrainingBackends draining) {
 
   /**
    * Creates the services.
@@ -38,7 +39,11 @@
         new DrainingBackends(() -> blackboard.backends().value(), notices::broadcastDraining, time);
     return new IncarnationServices(
         new IncarnationMonitor(
-            eventLoop, engines, () -> blackboard.backends().value(), notices::broadcastIncarnationEnd, time),
+            eventLoop,
+            engines,
+            () -> blackboard.backends().value(),
+            notices::broadcastIncarnationEnd,
+            time),
         new BackendAnnouncements(drainingBackends, time),
         drainingBackends);
   }
--- a/gateway/src/main/java/org/lockdale/gateway/node/TargetVersionRecorder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/TargetVersionRecorder.java
@@ -134,7 +134,8 @@
       times.pollFirstEntry();
     }
     List<RecordedTargetVersions.Entry> namings = new ArrayList<>();
-    times.forEach((version, store) -> namings.add(new RecordedTargetVersions.Entry(version, store)));
+    times.forEach(
+        (version, store) -> namings.add(new RecordedTargetVersions.Entry(version, store)));
     writing.add(model);
     table
         .writeTargetVersions(new RecordedTargetVersions(model, namings))
--- a/gateway/src/main/java/org/lockdale/gateway/placement/BackendChooser.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/BackendChooser.java
@@ -120,7 +120,8 @@
       // that is backing off has asked for it itself, so it stays excluded.
       considered.addAll(ejected);
     }
-    List<TrackedBackend> available = without(considered, request.atRateLimit().or(request.backingOff()));
+    List<TrackedBackend> available =
+        without(considered, request.atRateLimit().or(request.backingOff()));
     PromptPlacement prompt = request.prompt();
     return prompt == null
         ? cheapest(available, candidate -> promptlessCost(candidate, request.zone(), nowMillis))
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PlacementDecider.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PlacementDecider.java
@@ -14,8 +14,8 @@
 import org.lockdale.gateway.cache.CacheNamespace;
 import org.lockdale.gateway.cache.CachePlanner;
 import org.lockdale.gateway.cache.CacheTransfer;
-import org.lockdale.gateway.cache.PrefixAvailability;
 import org.lockdale.gateway.cache.MissingPrefix;
+import org.lockdale.gateway.cache.PrefixAvailability;
 import org.lockdale.gateway.rate.BackendRates;
 import org.lockdale.gateway.weights.WeightsPolicy;
 
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PlacementRequest.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PlacementRequest.java
@@ -18,10 +18,10 @@
  * @param prompt the prompt, or null for a request without one
  * @param needOf estimates which of the prompt's shared parts a candidate lacks
  * @param outdated accepts candidates that may serve but hold outdated weights
- * @param atRateLimit accepts candidates that have reached their rate limit. They keep the prefixes they
- *     are home to, so that a temporary limit moves none
- * @param backingOff accepts candidates that requested a backoff from the sending node. They keep their
- *     prefixes too
+ * @param atRateLimit accepts candidates that have reached their rate limit. They keep the prefixes
+ *     they are home to, so that a temporary limit moves none
+ * @param backingOff accepts candidates that requested a backoff from the sending node. They keep
+ *     their prefixes too
  */
 public record PlacementRequest(
     String pool,
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/Quarantine.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/Quarantine.java
@@ -112,9 +112,11 @@
    * @param request the request
    * @param caller name of the tenant, or the key where there is none
    * @param backend id of the backend's incarnation
-   * @return the attempt to report to {@link #attemptConcluded}; empty if the request is not a suspect
+   * @return the attempt to report to {@link #attemptConcluded}; empty if the request is not a
+   *     suspect
    */
-  public Optional<SuspectAttempt> attemptStarting(CallerRequest request, String caller, String backend) {
+  public Optional<SuspectAttempt> attemptStarting(
+      CallerRequest request, String caller, String backend) {
     Optional<SuspectAttempt> attempt = section.value().attempt(request, caller, backend);
     attempt.ifPresent(each -> context.eventLoop().execute(() -> begin(each)));
     return attempt;
@@ -238,7 +240,8 @@
         lost.answerMillis());
     boolean early = lost.answerMillis() <= SuspectLedger.EARLY_MILLIS;
     int sketch = RequestFingerprint.sketchOf(lost.request(), lost.caller());
-    Map<String, CrashInvolvement> crashes = Map.of(lost.backend(), new CrashInvolvement(early, false));
+    Map<String, CrashInvolvement> crashes =
+        Map.of(lost.backend(), new CrashInvolvement(early, false));
     Suspect suspect = new Suspect(fingerprint, sketch, crashes);
     if (ledger.recordLoss(suspect, context.time().monotonicMillis())) {
       propagate(suspect);
@@ -316,7 +319,8 @@
           "event=backend-ended-under backend={} fingerprint={} evidence=unconcluded",
           attempt.backend(),
           attempt.fingerprint());
-      Map<String, CrashInvolvement> crashes = Map.of(attempt.backend(), new CrashInvolvement(true, false));
+      Map<String, CrashInvolvement> crashes =
+          Map.of(attempt.backend(), new CrashInvolvement(true, false));
       Suspect suspect = new Suspect(attempt.fingerprint(), attempt.sketch(), crashes);
       if (merge(suspect)) {
         propagate(suspect);
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/QuarantinedRequest.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/QuarantinedRequest.java
@@ -9,7 +9,8 @@
  * @param crashedBackends ids of the backends that crashed while they ran it
  * @param untilMillis monotonic time at which it may be tried again
  */
-public record QuarantinedRequest(RequestFingerprint fingerprint, Set<String> crashedBackends, long untilMillis) {
+public record QuarantinedRequest(
+    RequestFingerprint fingerprint, Set<String> crashedBackends, long untilMillis) {
 
   /** Copies the set of backends. */
   public QuarantinedRequest {
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/Suspect.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/Suspect.java
@@ -11,7 +11,8 @@
  * @param sketch distinguishes it from most other requests without a look at their bodies
  * @param crashes crashes of backends while they ran it, by the id of the incarnation
  */
-public record Suspect(RequestFingerprint fingerprint, int sketch, Map<String, CrashInvolvement> crashes) {
+public record Suspect(
+    RequestFingerprint fingerprint, int sketch, Map<String, CrashInvolvement> crashes) {
 
   /** Copies the map of crashes. */
   public Suspect {
@@ -30,7 +31,8 @@
   /** Returns the union of two views of the same request. */
   Suspect merge(Suspect other) {
     Map<String, CrashInvolvement> merged = new TreeMap<>(crashes);
-    other.crashes.forEach((backend, crash) -> merged.merge(backend, crash, CrashInvolvement::merge));
+    other.crashes.forEach(
+        (backend, crash) -> merged.merge(backend, crash, CrashInvolvement::merge));
     return new Suspect(fingerprint, sketch, merged);
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/rate/BackendRates.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/BackendRates.java
@@ -119,8 +119,13 @@
   }
 
   private synchronized boolean record(
-      String backend, AdvertisedRate rate, long sentAtMillis, long receivedAtMillis, String source) {
-    AdvertisedRates.Change change = advertised.record(backend, rate, sentAtMillis, receivedAtMillis);
+      String backend,
+      AdvertisedRate rate,
+      long sentAtMillis,
+      long receivedAtMillis,
+      String source) {
+    AdvertisedRates.Change change =
+        advertised.record(backend, rate, sentAtMillis, receivedAtMillis);
     anyKnown = !advertised.isEmpty();
     switch (change) {
       case LIMITED -> {
--- a/gateway/src/main/java/org/lockdale/gateway/request/QuarantineFilter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/QuarantineFilter.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.ThreadLocalRandom;
 import org.jspecify.annotations.Nullable;
 import org.lockdale.coordination.time.Time;
-import org.lockdale.gateway.quarantine.QuarantinedRequest;
 import org.lockdale.gateway.quarantine.Quarantine;
+import org.lockdale.gateway.quarantine.QuarantinedRequest;
 import org.tinylog.Logger;
 
 /**
@@ -37,7 +37,8 @@
 
   @Override
   public @Nullable Refusal apply(RequestState state) {
-    Optional<QuarantinedRequest> quarantined = quarantine.quarantined(state.request, state.caller());
+    Optional<QuarantinedRequest> quarantined =
+        quarantine.quarantined(state.request, state.caller());
     return quarantined.isEmpty() ? null : refusal(state, quarantined.get());
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/table/TablePeers.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/TablePeers.java
@@ -17,8 +17,8 @@
 
   /**
    * Reads the changes after a version. The future fails if the node does not respond in time, and
-   * with {@link TransferTooLargeException} if the changes should be read from the store instead. That
-   * does not happen if {@code afterChange} is -1.
+   * with {@link TransferTooLargeException} if the changes should be read from the store instead.
+   * That does not happen if {@code afterChange} is -1.
    *
    * @param peer address of the node
    * @param table name of the table
--- a/gateway/src/main/java/org/lockdale/gateway/weights/TargetWeights.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/TargetWeights.java
@@ -51,7 +51,8 @@
     for (Map.Entry<String, Long> entry : newest.entrySet()) {
       long version = entry.getValue();
       if (newest(entry.getKey()).orElse(Long.MIN_VALUE) < version) {
-        merged = merged.plus(entry.getKey(), new TargetVersion(version, notBeforeMillis, estimated));
+        merged =
+            merged.plus(entry.getKey(), new TargetVersion(version, notBeforeMillis, estimated));
       }
     }
     return merged;
--- a/gateway/src/test/java/org/lockdale/gateway/life/IncarnationMonitorTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationMonitorTest.java
@@ -64,7 +64,8 @@
     queries = 0;
     state = new CompletableFuture<>();
     monitor =
-        new IncarnationMonitor(new VirtualExecutor(time), new Engine(), () -> table, notified::add, time);
+        new IncarnationMonitor(
+            new VirtualExecutor(time), new Engine(), () -> table, notified::add, time);
   }
 
   private void misdirected(Long weights) {
--- a/gateway/src/test/java/org/lockdale/gateway/node/TargetVersionRecorderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/node/TargetVersionRecorderTest.java
@@ -119,7 +119,8 @@
     observer.publish(observer.weights.value().with(Map.of(MODEL, 3L), 6_000));
     observer.recorder.tick();
     late.at(12_500);
-    late.publish(TargetWeights.NONE.withEstimate(Map.of(MODEL, 3L), late.monotonicMillis() - BOUND));
+    late.publish(
+        TargetWeights.NONE.withEstimate(Map.of(MODEL, 3L), late.monotonicMillis() - BOUND));
     assertEquals(late.required(), Long.valueOf(3), "from the estimate alone");
     readRecordOnLateNode();
     assertEquals(late.required(), Long.valueOf(2), "the newest is only 6.5 s old");
@@ -214,7 +215,8 @@
     observer.publish(observer.weights.value().with(Map.of(MODEL, 3L), 6_900));
     observer.recorder.tick();
     late.at(13_000);
-    late.publish(TargetWeights.NONE.withEstimate(Map.of(MODEL, 3L), late.monotonicMillis() - BOUND));
+    late.publish(
+        TargetWeights.NONE.withEstimate(Map.of(MODEL, 3L), late.monotonicMillis() - BOUND));
     assertEquals(late.required(), Long.valueOf(3), "from the estimate alone");
     readRecordOnLateNode();
     Long required = late.required();
--- a/gateway/src/test/java/org/lockdale/gateway/rate/AdvertisedRatesTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/rate/AdvertisedRatesTest.java
@@ -83,7 +83,8 @@
   @Test
   public void whatCannotBeReadLeavesTheLastRate() {
     assertEquals(
-        rates.record(ID, new AdvertisedRate.Unreadable("many"), 0, 10), AdvertisedRates.Change.NONE);
+        rates.record(ID, new AdvertisedRate.Unreadable("many"), 0, 10),
+        AdvertisedRates.Change.NONE);
     recordRate(4, 20, 30);
     rates.record(ID, new AdvertisedRate.Unreadable("many"), 40, 50);
     assertEquals(rates.perSecond(ID), OptionalDouble.of(4));
