--- a/router/src/main/java/org/lockdale/router/blackboard/Blackboard.java
+++ b/router/src/main/java/org/lockdale/router/blackboard/Blackboard.java
@@ -8,13 +8,14 @@
 import org.lockdale.router.policy.PolicySet;
 
 /**
- * What a node believes. The table of writers, readers and ages is in docs/ARCHITECTURE.md.
+ * The state of the system as known to a node, in sections that are each written by one component.
+ * docs/ARCHITECTURE.md lists their writers, readers and ages.
  *
- * @param configuration resources in force; written by the coordination controller
- * @param policies the same, parsed; written by the coordination controller
+ * @param configuration current configuration resources; written by the coordination controller
+ * @param policies policies built from the configuration; written by the coordination controller
  * @param members other nodes; written by the coordination controller
  * @param engines engines with labels and load; written by the engine controller
- * @param phase whether the node starts, serves or stops; written by the node
+ * @param phase phase of the node; written by the node
  */
 public record Blackboard(
     Section<ConfigurationState> configuration,
@@ -23,7 +24,7 @@
     Section<EngineTable> engines,
     Section<NodePhase> phase) {
 
-  /** Returns a blackboard on which nothing is known yet. */
+  /** Returns a blackboard with empty sections, in phase {@link NodePhase#STARTING}. */
   public static Blackboard empty() {
     return new Blackboard(
         new Section<>(ConfigurationState.EMPTY),
--- a/router/src/main/java/org/lockdale/router/blackboard/NodePhase.java
+++ b/router/src/main/java/org/lockdale/router/blackboard/NodePhase.java
@@ -1,11 +1,11 @@
 package org.lockdale.router.blackboard;
 
-/** Phase in the life of a node. */
+/** Phase of the life cycle of a node. */
 public enum NodePhase {
-  /** No configuration or engine is known yet. */
+  /** The configuration or the engines are not known yet. */
   STARTING,
-  /** Requests are served. */
+  /** The node serves requests. */
   SERVING,
-  /** Open requests are finished, new ones refused. */
+  /** The node finishes open requests and rejects new ones. */
   STOPPING
 }
--- a/router/src/main/java/org/lockdale/router/blackboard/package-info.java
+++ b/router/src/main/java/org/lockdale/router/blackboard/package-info.java
@@ -1,4 +1,4 @@
-/** Snapshots that controllers publish and the request path reads without locks. */
+/** State snapshots that controllers publish and the request path reads without locks. */
 @NullMarked
 package org.lockdale.router.blackboard;
 
--- a/router/src/main/java/org/lockdale/router/policy/ConfigurationValidator.java
+++ b/router/src/main/java/org/lockdale/router/policy/ConfigurationValidator.java
@@ -17,7 +17,10 @@
 import org.lockdale.coordination.configuration.ConfigurationState;
 import org.lockdale.coordination.configuration.ResourceKey;
 
-/** Checks a configuration before it is offered to the history: by schema, then across resources. */
+/**
+ * Checks a configuration before it is proposed to the history: each document against the schema,
+ * then the references between resources.
+ */
 public final class ConfigurationValidator {
 
   private static final String SCHEMA_RESOURCE = "configuration-schema.json";
@@ -35,7 +38,7 @@
     }
   }
 
-  /** Returns what is wrong with one document; empty where nothing is. */
+  /** Returns the problems of one document, or an empty list if it is valid. */
   public List<String> checkDocument(ResourceDocument document) {
     Set<String> found = new TreeSet<>();
     for (ValidationMessage message : schema.validate(document.root())) {
@@ -44,7 +47,10 @@
     return List.copyOf(found);
   }
 
-  /** Returns what is wrong between the resources of a whole configuration. */
+  /**
+   * Returns the problems between the resources of a complete configuration: references to resources
+   * that do not exist, and API keys that tenants share.
+   */
   public List<String> checkReferences(ConfigurationState state) {
     List<String> problems = new ArrayList<>();
     Map<String, ResourceKey> ownerByKeyHash = new HashMap<>();
@@ -68,8 +74,8 @@
       String targetKind,
       List<String> problems) {
     String target = document.spec().path(field).asText("");
-    boolean refers = document.key().kind().equals(kind) && !target.isEmpty();
-    if (refers && !state.resources().containsKey(new ResourceKey(targetKind, target))) {
+    boolean hasReference = document.key().kind().equals(kind) && !target.isEmpty();
+    if (hasReference && !state.resources().containsKey(new ResourceKey(targetKind, target))) {
       problems.add(
           document.key()
               + ": spec."
--- a/router/src/main/java/org/lockdale/router/policy/LabelNames.java
+++ b/router/src/main/java/org/lockdale/router/policy/LabelNames.java
@@ -2,7 +2,7 @@
 
 import java.util.Set;
 
-/** Labels that the system sets itself. */
+/** Names of the labels that the system sets. */
 public final class LabelNames {
 
   /** Tenant of a request. */
@@ -14,13 +14,13 @@
   /** Adapter of a request. */
   public static final String ADAPTER = "adapter";
 
-  /** Zone of the node that took a request, and zone of an engine. */
+  /** Zone of the node that received a request, or zone of an engine. */
   public static final String ZONE = "zone";
 
   /** Id of an engine. */
   public static final String ENGINE = "engine";
 
-  /** Labels a caller may not choose. */
+  /** Labels that a caller can't set. */
   public static final Set<String> RESERVED = Set.of(TENANT, MODEL, ADAPTER, ZONE, ENGINE);
 
   private LabelNames() {}
--- a/router/src/main/java/org/lockdale/router/policy/PolicyParser.java
+++ b/router/src/main/java/org/lockdale/router/policy/PolicyParser.java
@@ -12,9 +12,9 @@
 import org.lockdale.coordination.configuration.ConfigurationState;
 
 /**
- * Parses a configuration into policies. An accepted version must come into force at every node, so
- * a resource that can't be used is reported and left out rather than holding the whole version up;
- * {@link ConfigurationValidator} keeps such resources from being accepted in the first place.
+ * Builds the policies of a configuration. An accepted version must take effect at every node, so a
+ * resource that can't be used is reported and skipped rather than blocking the version. {@link
+ * ConfigurationValidator} rejects such resources before they are accepted.
  */
 public final class PolicyParser {
 
@@ -31,7 +31,7 @@
    * Parses a configuration.
    *
    * @param state resources at one version
-   * @param problems hears of each resource that can't be used
+   * @param problems receives a message for each resource or selector that can't be used
    */
   public static PolicySet parse(ConfigurationState state, Consumer<String> problems) {
     PolicyParser parser = new PolicyParser(problems);
--- a/router/src/main/java/org/lockdale/router/policy/ResourceDocument.java
+++ b/router/src/main/java/org/lockdale/router/policy/ResourceDocument.java
@@ -9,20 +9,20 @@
 import org.lockdale.coordination.configuration.ResourceKey;
 
 /**
- * A configuration resource in the form of Kubernetes: {@code kind}, {@code metadata} with name and
- * labels, {@code spec}.
+ * A configuration resource in the format of Kubernetes: {@code kind}, {@code metadata} with name
+ * and labels, {@code spec}.
  *
  * @param key kind and name
  * @param labels labels
- * @param spec contents by kind
- * @param root the whole document
+ * @param spec contents, which depend on the kind
+ * @param root the complete document
  */
 public record ResourceDocument(
     ResourceKey key, Map<String, String> labels, JsonNode spec, JsonNode root) {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
-  /** Returns the resource of a parsed document; absent parts are read as empty. */
+  /** Returns the resource of a parsed document; absent parts are treated as empty. */
   public static ResourceDocument of(JsonNode root) {
     JsonNode metadata = root.path("metadata");
     Map<String, String> labels = new TreeMap<>();
@@ -33,7 +33,7 @@
     return new ResourceDocument(key, Map.copyOf(labels), root.path("spec"), root);
   }
 
-  /** Returns the resource of a JSON document as replicas hold it. */
+  /** Returns the resource of a JSON document as stored in a configuration. */
   public static ResourceDocument parse(byte[] json) {
     try {
       return of(MAPPER.readTree(json));
--- a/router/src/main/java/org/lockdale/router/policy/ResourceKind.java
+++ b/router/src/main/java/org/lockdale/router/policy/ResourceKind.java
@@ -6,19 +6,19 @@
 
 /** Kinds of configuration resources. */
 public enum ResourceKind {
-  /** A zone with its region and its distance to others. */
+  /** A zone with its region and its latency to other zones. */
   ZONE("Zone"),
-  /** A model with the weights version wanted. */
+  /** A model with its target weights version. */
   MODEL("Model"),
   /** An adapter of a model. */
   ADAPTER("Adapter"),
   /** A tenant with its hashed API keys. */
   TENANT("Tenant"),
-  /** A priority. */
+  /** A priority class of requests. */
   PRIORITY("Priority"),
-  /** Limits of the tenants it selects. */
+  /** Limits of selected tenants. */
   LIMIT("Limit"),
-  /** A rule from requests to engines. */
+  /** A rule that maps requests to engines. */
   ROUTE("Route"),
   /** Labels of one engine. */
   ENGINE("Engine");
@@ -29,12 +29,15 @@
     this.wireName = wireName;
   }
 
-  /** Returns the name as it stands in documents. */
+  /** Returns the name used in documents. */
   public String wireName() {
     return wireName;
   }
 
-  /** Returns the kind of a name, in any case of letters and with or without a plural s. */
+  /**
+   * Returns the kind with a name, in singular or plural and ignoring case, or empty if there is
+   * none.
+   */
   public static Optional<ResourceKind> find(String name) {
     String lower = name.toLowerCase(Locale.ROOT);
     String singular = lower.endsWith("s") ? lower.substring(0, lower.length() - 1) : lower;
--- a/router/src/main/java/org/lockdale/router/policy/Selector.java
+++ b/router/src/main/java/org/lockdale/router/policy/Selector.java
@@ -7,8 +7,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A label selector in the form of Kubernetes: all equality and set-based requirements must hold. An
- * empty selector matches everything.
+ * A label selector in the format of Kubernetes: all equality and set-based requirements must hold.
+ * An empty selector matches everything.
  *
  * @param matchLabels labels that must have these values
  * @param matchExpressions further requirements
@@ -20,14 +20,14 @@
   /** Matches everything. */
   public static final Selector EVERYTHING = new Selector(Map.of(), List.of());
 
-  /** Replaces absent parts by empty ones. */
+  /** Replaces null by an empty map or list. */
   public Selector(
       @Nullable Map<String, String> matchLabels, @Nullable List<Requirement> matchExpressions) {
     this.matchLabels = Map.copyOf(Objects.requireNonNullElse(matchLabels, Map.of()));
     this.matchExpressions = List.copyOf(Objects.requireNonNullElse(matchExpressions, List.of()));
   }
 
-  /** Ways to compare a label. */
+  /** Conditions on a label. */
   public enum Operator {
     /** The label has one of the values. */
     @JsonProperty("In")
@@ -47,12 +47,12 @@
    * One set-based requirement.
    *
    * @param key label
-   * @param operator comparison
-   * @param values values compared with
+   * @param operator condition
+   * @param values values to compare with
    */
   public record Requirement(String key, Operator operator, List<String> values) {
 
-    /** Replaces absent values by none. */
+    /** Replaces null values by an empty list. */
     public Requirement(String key, Operator operator, @Nullable List<String> values) {
       this.key = key;
       this.operator = operator;
@@ -70,7 +70,7 @@
     }
   }
 
-  /** Returns whether labels meet all requirements. */
+  /** Returns whether a set of labels meets all requirements. */
   public boolean matches(Map<String, String> labels) {
     for (Map.Entry<String, String> wanted : matchLabels.entrySet()) {
       if (!wanted.getValue().equals(labels.get(wanted.getKey()))) {
--- a/router/src/main/java/org/lockdale/router/policy/TenantLimit.java
+++ b/router/src/main/java/org/lockdale/router/policy/TenantLimit.java
@@ -3,13 +3,13 @@
 /**
  * Limits of one tenant at one node.
  *
- * @param maxInFlight most requests at once, waiting ones included
- * @param requestsPerSecond rate over a second
- * @param weight share of capacity in relation to other tenants when there is not enough
+ * @param maxInFlight maximum number of concurrent requests, including queued ones
+ * @param requestsPerSecond maximum number of requests in each second
+ * @param weight relative share of capacity among tenants while requests are queued
  */
 public record TenantLimit(int maxInFlight, int requestsPerSecond, int weight) {
 
-  /** Weight of a tenant that no limit gives one. */
+  /** Weight of a tenant for which no limit sets one. */
   public static final int DEFAULT_WEIGHT = 100;
 
   /** No limits and the default weight. */
--- a/router/src/main/java/org/lockdale/router/policy/package-info.java
+++ b/router/src/main/java/org/lockdale/router/policy/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The configuration as the request path reads it: selectors, tenants, routes, priorities, limits.
+ * The configuration in the form that the request path uses: selectors, tenants, routes, priorities,
+ * limits.
  */
 @NullMarked
 package org.lockdale.router.policy;
--- a/router/src/test/java/org/lockdale/router/policy/PolicyTest.java
+++ b/router/src/test/java/org/lockdale/router/policy/PolicyTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Selectors, the schema and the shipped examples. */
+/** Tests selectors, the configuration schema, references and the shipped examples. */
 public final class PolicyTest {
 
   private static final YAMLMapper YAML = new YAMLMapper();
@@ -41,7 +41,7 @@
     return new ConfigurationState(1, Collections.unmodifiableSortedMap(resources));
   }
 
-  /** Both examples are valid, have eight tenants, and route what their callers ask for. */
+  /** Both examples are valid, have eight tenants and a route for their callers' requests. */
   @Test
   public void examplesAreValid() throws IOException {
     for (String name : List.of("gift-cards", "canal-hire")) {
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Requirements in the form of Kubernetes, with labels that match and labels that do not. */
+  /** Operators with labels that match and labels that do not. */
   @DataProvider
   public Object[][] requirements() {
     return new Object[][] {
@@ -70,17 +70,17 @@
     };
   }
 
-  /** Each operator matches what it should and nothing else. */
+  /** Each operator matches the right labels only. */
   @Test(dataProvider = "requirements")
   public void selectorsMatch(
-      Selector.Operator operator, Map<String, String> good, Map<String, String> bad) {
+      Selector.Operator operator, Map<String, String> matching, Map<String, String> other) {
     Selector selector =
         new Selector(Map.of(), List.of(new Selector.Requirement("k", operator, List.of("a", "b"))));
-    assertTrue(selector.matches(good));
-    assertFalse(selector.matches(bad));
+    assertTrue(selector.matches(matching));
+    assertFalse(selector.matches(other));
   }
 
-  /** Documents that the schema must refuse. */
+  /** Documents that the schema must reject. */
   @DataProvider
   public Object[][] invalid() {
     return new Object[][] {
@@ -98,16 +98,16 @@
     };
   }
 
-  /** Each is refused with the document's name in the message. */
+  /** Each invalid document is rejected with its key in the message. */
   @Test(dataProvider = "invalid")
-  public void invalidDocumentsAreRefused(String yaml) throws IOException {
+  public void invalidDocumentsAreRejected(String yaml) throws IOException {
     List<String> problems =
         new ConfigurationValidator().checkDocument(ResourceDocument.of(YAML.readTree(yaml)));
     assertFalse(problems.isEmpty(), yaml);
     assertTrue(problems.get(0).contains("/"), problems.get(0));
   }
 
-  /** A reference to what does not exist and a key of two tenants are refused. */
+  /** A reference to a missing resource and an API key of two tenants are each reported. */
   @Test
   public void referencesAreChecked() throws IOException {
     String hash = PolicySet.hashOfKey("same");
@@ -127,9 +127,9 @@
     assertEquals(problems.size(), 2, problems.toString());
   }
 
-  /** The strictest of all limits that select a tenant holds. */
+  /** The strictest of all limits that select a tenant applies. */
   @Test
-  public void theStrictestLimitHolds() throws IOException {
+  public void theStrictestLimitApplies() throws IOException {
     List<ResourceDocument> documents = example("gift-cards");
     documents.add(
         ResourceDocument.of(
