--- a/router/src/main/java/org/lockdale/router/error/RequestException.java
+++ b/router/src/main/java/org/lockdale/router/error/RequestException.java
@@ -5,7 +5,7 @@
 import org.lockdale.openai.HeaderNames;
 import org.lockdale.openai.Outcome;
 
-/** A request that ends with an error; carries all that the caller is told. */
+/** Thrown to end a request with an error; carries everything that is sent to the caller. */
 public final class RequestException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
@@ -37,7 +37,10 @@
     this.retryAfterSeconds = builder.retryAfterSeconds;
   }
 
-  /** Returns an error of a kind; the detail says what happened, the kind adds the remedy. */
+  /**
+   * Returns an error with the defaults of its kind. Its message is the detail, which describes what
+   * happened, followed by the remedy of the kind.
+   */
   public static RequestException of(ErrorKind kind, String detail) {
     return builder(kind, detail).build();
   }
@@ -57,19 +60,19 @@
     return new RequestException(this, newOutcome);
   }
 
-  /** Returns whether the request ran. */
+  /** Returns whether the request ran, as far as it is known. */
   public Outcome outcome() {
     return outcome;
   }
 
-  /** Returns the error envelope. */
+  /** Returns the error as a response body. */
   public ErrorBody toBody() {
     return new ErrorBody(
         new ErrorBody.Detail(
             getMessage(), kind.type(), parameter, code, outcome.wireName(), retryAfterSeconds));
   }
 
-  /** Returns the whole reply. */
+  /** Returns the complete response, with the id of the request in a header. */
   public HttpReply toReply(String requestId) {
     HttpReply reply =
         HttpReply.json(status, toBody().toJson())
@@ -100,13 +103,13 @@
       this.retryAfterSeconds = kind.retryAfterSeconds();
     }
 
-    /** Sets a finer code than that of the kind. */
+    /** Sets a more specific error code than that of the kind. */
     public Builder code(String newCode) {
       code = newCode;
       return this;
     }
 
-    /** Sets the field at fault. */
+    /** Sets the name of the invalid field. */
     public Builder parameter(String newParameter) {
       parameter = newParameter;
       return this;
@@ -124,7 +127,7 @@
       return this;
     }
 
-    /** Sets when to come back. */
+    /** Sets the seconds after which to retry, or 0 for no such advice. */
     public Builder retryAfterSeconds(int seconds) {
       retryAfterSeconds = seconds;
       return this;
--- a/router/src/main/java/org/lockdale/router/error/package-info.java
+++ b/router/src/main/java/org/lockdale/router/error/package-info.java
@@ -1,4 +1,4 @@
-/** Typed errors of the request path; each message names the remedy. */
+/** Typed errors of the request path; each message ends with a remedy. */
 @NullMarked
 package org.lockdale.router.error;
 
--- a/router/src/main/java/org/lockdale/router/operator/ConfigurationEditor.java
+++ b/router/src/main/java/org/lockdale/router/operator/ConfigurationEditor.java
@@ -15,7 +15,10 @@
 import org.lockdale.router.policy.ConfigurationValidator;
 import org.lockdale.router.policy.ResourceDocument;
 
-/** Checks edits against the version they were made on and offers them to the history. */
+/**
+ * Checks edits against the version that they are based on and proposes them to the configuration
+ * history.
+ */
 public final class ConfigurationEditor {
 
   private static final byte[] DELETED = new byte[0];
@@ -30,7 +33,7 @@
    *
    * @param blackboard configuration in force at this node
    * @param time clock
-   * @param proposer offers a change to the history
+   * @param proposer proposes a change to the history and returns the accepted change
    */
   public ConfigurationEditor(
       Blackboard blackboard,
@@ -42,19 +45,19 @@
   }
 
   /**
-   * Makes an edit.
+   * Checks an edit and, unless it is a dry run, proposes it.
    *
    * @return the version it was accepted as, or the base version of a dry run
-   * @throws EditRefusedException if the edit is invalid, or made on another version than this
-   *     node's
+   * @throws EditRejectedException if the edit is invalid, or based on another version than this
+   *     node has
    */
   public CompletableFuture<Long> edit(EditRequest request) {
     ConfigurationState base = blackboard.configuration().value();
     if (request.baseVersion() > base.version()) {
-      throw EditRefusedException.behind(request.baseVersion(), base.version());
+      throw EditRejectedException.nodeBehind(request.baseVersion(), base.version());
     }
     if (request.baseVersion() < base.version()) {
-      throw EditRefusedException.conflict(
+      throw EditRejectedException.conflict(
           "The edit was made on version "
               + request.baseVersion()
               + ", but version "
@@ -97,7 +100,7 @@
       problems.addAll(validator.checkReferences(base.apply(change)));
     }
     if (!problems.isEmpty()) {
-      throw EditRefusedException.invalid(problems);
+      throw EditRejectedException.invalid(problems);
     }
     return change;
   }
--- a/router/src/main/java/org/lockdale/router/operator/EditRefusedException.java
+++ b/router/src/main/java/org/lockdale/router/operator/EditRejectedException.java
@@ -2,38 +2,38 @@
 
 import java.util.List;
 
-/** An edit that was not offered to the history. */
-public final class EditRefusedException extends RuntimeException {
+/** Thrown for an edit that was rejected before it was proposed to the configuration history. */
+public final class EditRejectedException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
   private final int status;
   private final String code;
 
-  private EditRefusedException(int status, String code, String message) {
+  private EditRejectedException(int status, String code, String message) {
     super(message, null, false, false);
     this.status = status;
     this.code = code;
   }
 
-  static EditRefusedException invalid(List<String> problems) {
-    return new EditRefusedException(
+  static EditRejectedException invalid(List<String> problems) {
+    return new EditRejectedException(
         422, "invalid_configuration", String.join("; ", problems) + ". Correct the documents.");
   }
 
-  static EditRefusedException behind(long baseVersion, long ownVersion) {
-    return new EditRefusedException(
+  static EditRejectedException nodeBehind(long baseVersion, long currentVersion) {
+    return new EditRejectedException(
         503,
         "node_behind",
         "The edit was made on version "
             + baseVersion
             + ", but this node is at "
-            + ownVersion
+            + currentVersion
             + "; send it again in a second or to another node.");
   }
 
-  static EditRefusedException conflict(String message) {
-    return new EditRefusedException(409, "version_conflict", message);
+  static EditRejectedException conflict(String message) {
+    return new EditRejectedException(409, "version_conflict", message);
   }
 
   /** Returns the HTTP status. */
@@ -41,7 +41,7 @@
     return status;
   }
 
-  /** Returns the code for programs. */
+  /** Returns the machine-readable error code. */
   public String code() {
     return code;
   }
--- a/router/src/main/java/org/lockdale/router/operator/EditRequest.java
+++ b/router/src/main/java/org/lockdale/router/operator/EditRequest.java
@@ -8,11 +8,11 @@
 /**
  * An edit of the configuration.
  *
- * @param baseVersion version the edit was made on
- * @param author who made it
+ * @param baseVersion version that the edit is based on
+ * @param author author of the edit; null is read as {@code unknown}
  * @param resources resources to set
  * @param deletions resources to delete
- * @param dryRun whether to check the edit only
+ * @param dryRun whether to check the edit without applying it
  */
 public record EditRequest(
     long baseVersion,
@@ -24,7 +24,7 @@
   /** Identity of a resource. */
   public record ResourceName(String kind, String name) {}
 
-  /** Replaces absent lists by empty ones. */
+  /** Replaces an absent author by {@code unknown} and absent lists by empty ones. */
   public EditRequest(
       long baseVersion,
       @Nullable String author,
--- a/router/src/main/java/org/lockdale/router/operator/ExplainRequest.java
+++ b/router/src/main/java/org/lockdale/router/operator/ExplainRequest.java
@@ -5,11 +5,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A request to be explained.
+ * A hypothetical request whose routing is to be explained.
  *
  * @param tenant tenant name
- * @param model model name as callers give it
- * @param metadata labels that the caller would add
+ * @param model model name as used by callers
+ * @param metadata labels that the caller would set
  * @param prompt prompt text, or an empty string
  */
 public record ExplainRequest(
--- a/router/src/main/java/org/lockdale/router/operator/Explainer.java
+++ b/router/src/main/java/org/lockdale/router/operator/Explainer.java
@@ -24,7 +24,7 @@
 import org.lockdale.router.policy.ServedModel;
 import org.lockdale.router.policy.Tenant;
 
-/** Explains which selectors match a request and which engine would serve it, without serving it. */
+/** Explains which routes match a request and which engine would serve it, without serving it. */
 public final class Explainer {
 
   private static final int BYTES_PER_TOKEN = 4;
@@ -91,10 +91,10 @@
         route.priority().name(),
         engines,
         chosen.map(found -> found.engine().id()).orElse(""),
-        chosen.map(Explainer::reasonOf).orElse("no engine is allowed and up"));
+        chosen.map(Explainer::describeChoice).orElse("no engine is allowed and up"));
   }
 
-  private static String reasonOf(Placement placement) {
+  private static String describeChoice(Placement placement) {
     return String.format(
         Locale.ROOT,
         "least expected time to first token: %.1f ms, %d prompt tokens believed cached",
--- a/router/src/main/java/org/lockdale/router/operator/NodeStatus.java
+++ b/router/src/main/java/org/lockdale/router/operator/NodeStatus.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * Status of one node, as it sees itself and the others.
+ * Status of one node with its view of the other nodes and the engines.
  *
  * @param node node id
  * @param zone zone
  * @param phase starting, serving or stopping
  * @param configurationVersion version in force
- * @param requestsInFlight requests that have not ended
- * @param requestsQueued requests that wait for an engine
- * @param pendingClaimEnds ends of claims still to be written
+ * @param requestsInFlight number of requests that have not ended
+ * @param requestsQueued number of requests that wait for an engine
+ * @param pendingClaimEnds number of final states of claims still to be written
  * @param members other nodes
  * @param engines engines
  */
@@ -28,7 +28,7 @@
     List<EngineStatusLine> engines) {
 
   /**
-   * Another node as this one sees it.
+   * Another node as known to this one.
    *
    * @param operatorAddress IP address and port of its operators' interface
    */
@@ -36,10 +36,11 @@
       String node, String zone, String status, long incarnation, String operatorAddress) {}
 
   /**
-   * An engine as this node sees it.
+   * An engine as known to this node.
    *
    * @param usable whether it can be given new work
-   * @param reportAgeMillis age of its load report, or -1 before the first
+   * @param leaving whether it is draining
+   * @param reportAgeMillis age of its load report in milliseconds, or -1 before the first
    */
   public record EngineStatusLine(
       String engine,
--- a/router/src/main/java/org/lockdale/router/operator/OperatorApi.java
+++ b/router/src/main/java/org/lockdale/router/operator/OperatorApi.java
@@ -24,7 +24,7 @@
 import org.lockdale.router.blackboard.NodePhase;
 import org.lockdale.router.controller.EngineController;
 
-/** The operators' HTTP interface. */
+/** The HTTP interface of operators. */
 public final class OperatorApi implements HttpHandler {
 
   /** Path of the status of one node. */
@@ -36,7 +36,7 @@
   /** Path of the configuration. */
   public static final String CONFIGURATION = "/v1/configuration";
 
-  /** Path of explanations. */
+  /** Path of explanations of routing. */
   public static final String EXPLAIN = "/v1/explain";
 
   private static final String NO_TOKEN = "none";
@@ -73,8 +73,8 @@
   public void handle(HttpExchange exchange) {
     try {
       route(exchange);
-    } catch (EditRefusedException refused) {
-      exchange.reply(error(refused.status(), refused.code(), refused.getMessage()));
+    } catch (EditRejectedException rejected) {
+      exchange.reply(error(rejected.status(), rejected.code(), rejected.getMessage()));
     } catch (IOException malformed) {
       exchange.reply(
           error(400, "invalid_request", "The body can't be read: " + malformed.getMessage()));
--- a/router/src/main/java/org/lockdale/router/operator/StatusReporter.java
+++ b/router/src/main/java/org/lockdale/router/operator/StatusReporter.java
@@ -18,7 +18,7 @@
 import org.lockdale.router.blackboard.Blackboard;
 import org.lockdale.router.engine.EngineView;
 
-/** Tells the status of this node and, by asking the others, of all nodes. */
+/** Reports the status of this node and, by querying the others, of all nodes. */
 public final class StatusReporter {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -33,11 +33,11 @@
   private final RequestCounts counts;
 
   /**
-   * Numbers that the request path keeps.
+   * Counters of the request path.
    *
-   * @param inFlight requests that have not ended
-   * @param queued requests that wait for an engine
-   * @param pendingClaimEnds ends of claims still to be written
+   * @param inFlight number of requests that have not ended
+   * @param queued number of requests that wait for an engine
+   * @param pendingClaimEnds number of final states of claims still to be written
    */
   public record RequestCounts(
       IntSupplier inFlight, IntSupplier queued, IntSupplier pendingClaimEnds) {}
@@ -74,7 +74,7 @@
     }
     List<NodeStatus.EngineStatusLine> engines = new ArrayList<>();
     for (EngineView engine : blackboard.engines().value().engines()) {
-      engines.add(lineOf(engine));
+      engines.add(statusOf(engine));
     }
     return new NodeStatus(
         nodeId,
@@ -88,7 +88,7 @@
         engines);
   }
 
-  private NodeStatus.EngineStatusLine lineOf(EngineView engine) {
+  private NodeStatus.EngineStatusLine statusOf(EngineView engine) {
     long now = time.monotonicMillis();
     boolean reported = !engine.incarnation().isEmpty();
     Map<String, String> labels = new TreeMap<>(engine.labels());
@@ -106,23 +106,23 @@
         reported ? now - engine.load().reportedAtMillis() : -1);
   }
 
-  /** Asks all nodes that are believed to be up for their status. */
+  /** Queries the status of all nodes that are considered reachable. */
   public CompletableFuture<ClusterStatus> ofCluster() {
-    Map<String, CompletableFuture<NodeStatus>> asked = new TreeMap<>();
-    asked.put(nodeId, CompletableFuture.completedFuture(ofNode()));
+    Map<String, CompletableFuture<NodeStatus>> statuses = new TreeMap<>();
+    statuses.put(nodeId, CompletableFuture.completedFuture(ofNode()));
     for (Member member : blackboard.members().value()) {
       if (member.isReachable()) {
-        asked.put(member.id(), ask(member));
+        statuses.put(member.id(), requestStatus(member));
       }
     }
     CompletableFuture<?>[] settled =
-        asked.values().stream()
+        statuses.values().stream()
             .map(future -> future.handle((status, failure) -> null))
             .toArray(CompletableFuture[]::new);
-    return CompletableFuture.allOf(settled).thenApply(ignored -> collect(asked));
+    return CompletableFuture.allOf(settled).thenApply(ignored -> collect(statuses));
   }
 
-  private CompletableFuture<NodeStatus> ask(Member member) {
+  private CompletableFuture<NodeStatus> requestStatus(Member member) {
     return client
         .exchange(
             member.operatorAddress(), HttpRequestMessage.get(OperatorApi.STATUS), NODE_TIMEOUT)
@@ -131,7 +131,7 @@
 
   private static NodeStatus parse(HttpReply reply) {
     if (reply.status() != OK) {
-      throw new IllegalStateException("the node answered " + reply.status());
+      throw new IllegalStateException("the node responded with status " + reply.status());
     }
     try {
       return MAPPER.readValue(reply.body(), NodeStatus.class);
@@ -140,11 +140,11 @@
     }
   }
 
-  private static ClusterStatus collect(Map<String, CompletableFuture<NodeStatus>> asked) {
+  private static ClusterStatus collect(Map<String, CompletableFuture<NodeStatus>> statuses) {
     List<NodeStatus> nodes = new ArrayList<>();
     List<String> silent = new ArrayList<>();
     long highest = 0;
-    for (Map.Entry<String, CompletableFuture<NodeStatus>> entry : asked.entrySet()) {
+    for (Map.Entry<String, CompletableFuture<NodeStatus>> entry : statuses.entrySet()) {
       if (entry.getValue().isCompletedExceptionally()) {
         silent.add(entry.getKey());
       } else {
--- a/router/src/main/java/org/lockdale/router/operator/package-info.java
+++ b/router/src/main/java/org/lockdale/router/operator/package-info.java
@@ -1,4 +1,7 @@
-/** The operators' HTTP interface: health, metrics, status, explanation and configuration. */
+/**
+ * The HTTP interface of operators: health, metrics, status, explanation of routing and
+ * configuration.
+ */
 @NullMarked
 package org.lockdale.router.operator;
 
