--- a/router/src/main/java/org/lockdale/router/peer/MessageAuthenticator.java
+++ b/router/src/main/java/org/lockdale/router/peer/MessageAuthenticator.java
@@ -9,13 +9,13 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Puts a message authentication code (HMAC-SHA-256, RFC 2104, cut to 16 bytes) in front of messages
- * and checks it, so that only holders of the shared key are heard. Not safe for use by several
- * threads.
+ * Prepends a message authentication code (HMAC-SHA-256, RFC 2104, truncated to 16 bytes) to
+ * messages and verifies it, so that only messages from holders of the shared key are accepted. Not
+ * safe for use by several threads.
  */
 public final class MessageAuthenticator {
 
-  /** Bytes that a code adds to a message. */
+  /** Length of the code in bytes. */
   public static final int CODE_BYTES = 16;
 
   private static final String ALGORITHM = "HmacSHA256";
@@ -32,7 +32,7 @@
     }
   }
 
-  /** Returns a message with its code in front. */
+  /** Returns a message with its code prepended. */
   public byte[] seal(byte[] message) {
     byte[] code = mac.doFinal(message);
     byte[] sealed = new byte[CODE_BYTES + message.length];
@@ -41,7 +41,7 @@
     return sealed;
   }
 
-  /** Returns the message of a sealed one, or empty where the code is wrong. */
+  /** Returns the message without its code, or empty if the code is wrong or missing. */
   public Optional<byte[]> open(byte[] sealed) {
     if (sealed.length < CODE_BYTES) {
       return Optional.empty();
--- a/router/src/main/java/org/lockdale/router/peer/PeerBindException.java
+++ b/router/src/main/java/org/lockdale/router/peer/PeerBindException.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 
-/** The peers' port could not be bound. */
+/** Thrown if the port for node-to-node messages can't be bound. */
 public final class PeerBindException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/router/src/main/java/org/lockdale/router/peer/PeerTransport.java
+++ b/router/src/main/java/org/lockdale/router/peer/PeerTransport.java
@@ -31,12 +31,12 @@
 import org.tinylog.Logger;
 
 /**
- * Carries node-to-node messages: small ones as UDP datagrams, larger ones over a TCP connection of
- * their own. Everything runs on one event loop, that of the state machine the messages are for.
+ * Sends and receives node-to-node messages: small ones as UDP datagrams, larger ones each over a
+ * separate TCP connection. Runs on the event loop of the state machine that processes the messages.
  */
 public final class PeerTransport implements Closeable {
 
-  /** Largest message sent as a datagram, so that it passes common links in one piece. */
+  /** Largest message sent as a datagram; it fits into one packet on common links. */
   private static final int MAX_DATAGRAM_BYTES = 1_200;
 
   private static final int MAX_FRAME_BYTES = 16 * 1024 * 1024;
@@ -51,17 +51,18 @@
   private final Consumer<PeerMessage> receiver;
   private final Channel datagrams;
   private final Channel listener;
-  private volatile Predicate<InetSocketAddress> blocked = address -> false;
+  private volatile Predicate<InetSocketAddress> blockedDestinations = address -> false;
   private volatile long bytesSent;
   private volatile long bytesReceived;
 
   /**
    * Binds a port for UDP and TCP.
    *
-   * @param eventLoop runs everything, the receiver included
-   * @param address where to listen; port 0 takes a port that is free for both
+   * @param eventLoop runs the transport and the receiver
+   * @param address address to listen on; port 0 selects a port that is free for both
    * @param sharedKey authenticates messages
-   * @param receiver takes in messages
+   * @param receiver processes received messages
+   * @throws PeerBindException if the port can't be bound
    */
   public PeerTransport(
       EventLoop eventLoop,
@@ -78,7 +79,10 @@
 
   private record BoundPair(Channel datagrams, Channel listener) {}
 
-  /** A free port that the system gives for UDP may be taken for TCP; then another one is tried. */
+  /**
+   * Binds the same port for UDP and TCP. A free UDP port that the system assigns may be in use for
+   * TCP; then another one is tried.
+   */
   private BoundPair bindBoth(InetSocketAddress address) {
     for (int tries = 1; ; tries++) {
       Channel udp = bindDatagrams(address);
@@ -134,14 +138,14 @@
     return bound.channel();
   }
 
-  /** Returns the address that was bound. */
+  /** Returns the bound address. */
   public InetSocketAddress address() {
     return (InetSocketAddress) datagrams.localAddress();
   }
 
-  /** Sends a message; loss is not reported. To be called on the event loop. */
+  /** Sends a message; its loss is not reported. Must be called on the event loop. */
   public void send(Outbound outbound) {
-    if (blocked.test(outbound.destination())) {
+    if (blockedDestinations.test(outbound.destination())) {
       return;
     }
     byte[] sealed = authenticator.seal(codec.encode(outbound.message()));
@@ -190,17 +194,19 @@
     receiver.accept(decoded);
   }
 
-  /** Drops messages to some destinations from now on, to bring about cuts in tests. */
+  /**
+   * Drops messages to matching destinations from now on, to simulate network partitions in tests.
+   */
   public void block(Predicate<InetSocketAddress> destinations) {
-    blocked = destinations;
+    blockedDestinations = destinations;
   }
 
-  /** Returns bytes of messages sent so far, codes included. */
+  /** Returns the total bytes of messages sent, including their codes. */
   public long bytesSent() {
     return bytesSent;
   }
 
-  /** Returns bytes of messages received so far, codes included. */
+  /** Returns the total bytes of messages received, including their codes. */
   public long bytesReceived() {
     return bytesReceived;
   }
@@ -219,7 +225,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      // A datagram that can't be sent or read is a lost one, which the protocol expects.
+      // A datagram that can't be sent or read is lost; the protocol tolerates loss.
       Logger.debug("event=peer-datagram-failed cause={}", cause.toString());
     }
   }
--- a/router/src/main/java/org/lockdale/router/platform/HttpTableService.java
+++ b/router/src/main/java/org/lockdale/router/platform/HttpTableService.java
@@ -15,7 +15,10 @@
 import org.lockdale.http.HttpReply;
 import org.lockdale.http.HttpRequestMessage;
 
-/** The platform's table service over HTTP with entity tags (RFC 9110, section 13). */
+/**
+ * Client of the platform's table service over HTTP. Row versions are entity tags, conditions are
+ * preconditions on them (RFC 9110, section 13).
+ */
 public final class HttpTableService implements TableService {
 
   private static final int OK = 200;
@@ -29,7 +32,7 @@
   private final InetSocketAddress address;
   private final Duration timeout;
 
-  /** Creates a client of the table service at an address. */
+  /** Creates a client of the table service at an address, with a timeout for each call. */
   public HttpTableService(HttpClient client, InetSocketAddress address, Duration timeout) {
     this.client = client;
     this.address = address;
@@ -48,7 +51,7 @@
                 switch (reply.status()) {
                   case OK -> Optional.of(new TableRow(reply.body(), versionOf(reply)));
                   case NOT_FOUND -> Optional.<TableRow>empty();
-                  default -> throw refusal(reply);
+                  default -> throw errorOf(reply);
                 });
   }
 
@@ -74,7 +77,7 @@
         .thenApply(
             reply -> {
               if (reply.status() != NO_CONTENT) {
-                throw refusal(reply);
+                throw errorOf(reply);
               }
               return new TableRow(value, versionOf(reply));
             });
@@ -85,11 +88,11 @@
         .exchange(address, request, timeout)
         .exceptionally(
             failure -> {
-              throw translate(failure);
+              throw callFailure(failure);
             });
   }
 
-  private static TableServiceException translate(Throwable failure) {
+  private static TableServiceException callFailure(Throwable failure) {
     Throwable cause = Failures.causeOf(failure);
     boolean notSent =
         cause instanceof HttpCallException call && call.stage() == HttpCallException.Stage.NOT_SENT;
@@ -97,7 +100,7 @@
     return new TableServiceException(kind, "table service: " + cause.getMessage());
   }
 
-  private static TableServiceException refusal(HttpReply reply) {
+  private static TableServiceException errorOf(HttpReply reply) {
     Kind kind =
         switch (reply.status()) {
           case PRECONDITION_FAILED -> Kind.CONDITION_FAILED;
--- a/router/src/main/java/org/lockdale/router/platform/Machine.java
+++ b/router/src/main/java/org/lockdale/router/platform/Machine.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * A machine on the platform's list.
+ * An entry of the platform's machine list.
  *
  * @param id machine id
  * @param role {@code engine} or {@code node}
  * @param zone zone
  * @param host IP address
  * @param port port of the machine's main service
- * @param state {@code live} or {@code leaving}
+ * @param state {@code live} or {@code leaving}, the latter when it will be removed
  * @param labels labels of the machine
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
@@ -32,7 +32,7 @@
     return ENGINE.equals(role);
   }
 
-  /** Returns whether the machine is about to go. */
+  /** Returns whether the machine is draining and will be removed. */
   public boolean isLeaving() {
     return LEAVING.equals(state);
   }
--- a/router/src/main/java/org/lockdale/router/platform/MachineListClient.java
+++ b/router/src/main/java/org/lockdale/router/platform/MachineListClient.java
@@ -15,7 +15,7 @@
 import org.lockdale.http.HttpReply;
 import org.lockdale.http.HttpRequestMessage;
 
-/** Reads the platform's machine list, or a peer's copy of it, which has the same form. */
+/** Reads the platform's machine list or a peer's copy of it, which has the same format. */
 public final class MachineListClient {
 
   /** Path of the list at the platform. */
@@ -29,17 +29,17 @@
   private final Duration timeout;
   private final Map<InetSocketAddress, String> entityTags = new ConcurrentHashMap<>();
 
-  /** Creates a client. */
+  /** Creates a client with a timeout for each call. */
   public MachineListClient(HttpClient client, Duration timeout) {
     this.client = client;
     this.timeout = timeout;
   }
 
   /**
-   * Reads the list at an address. The list is only sent when it has changed since this client read
-   * it there (RFC 9110, section 13.1.2).
+   * Reads the list at an address unless it is unchanged since this client last read it there (RFC
+   * 9110, section 13.1.2).
    *
-   * @return the list, or empty where it is the one read before; fails where there is no answer
+   * @return the list, or empty if it is unchanged; fails if there is no valid response
    */
   public CompletableFuture<Optional<List<Machine>>> readIfChanged(
       InetSocketAddress address, String path) {
@@ -66,7 +66,7 @@
 
   private static List<Machine> parse(HttpReply reply) {
     if (reply.status() != OK) {
-      throw new IllegalStateException("the machine list answered " + reply.status());
+      throw new IllegalStateException("the machine list request returned status " + reply.status());
     }
     try {
       return MAPPER.readValue(reply.body(), new TypeReference<List<Machine>>() {});
