--- a/router/src/main/java/org/lockdale/router/controller/CoordinationController.java
+++ b/router/src/main/java/org/lockdale/router/controller/CoordinationController.java
@@ -27,9 +27,9 @@
 import org.tinylog.Logger;
 
 /**
- * Drives the coordination state machine on one event loop and publishes the sections {@code
- * configuration}, {@code policies} and {@code members}. Reads the table service for the whole zone
- * while it is this node's turn, and always until a first configuration is known.
+ * Runs the coordination state machine on one event loop and publishes the sections {@code
+ * configuration}, {@code policies} and {@code members}. Polls the configuration history while this
+ * node is the elected poller of its zone or has no configuration yet.
  */
 public final class CoordinationController implements Closeable {
 
@@ -49,10 +49,10 @@
    * Starts the controller.
    *
    * @param eventLoop runs the state machine and its transport
-   * @param blackboard where to publish
-   * @param history accepted configuration
+   * @param blackboard blackboard to publish to
+   * @param history history of accepted configuration changes
    * @param time clock
-   * @param peers identity and addresses of this node
+   * @param peers identity of this node and addresses of its peers
    * @param pollInterval time between two reads of the table service
    */
   public CoordinationController(
@@ -107,8 +107,8 @@
   }
 
   private void poll() {
-    boolean wanted = node.configuration().version() == 0 || node.isConfigurationPoller();
-    if (closed || polling || !wanted) {
+    boolean isPoller = node.configuration().version() == 0 || node.isConfigurationPoller();
+    if (closed || polling || !isPoller) {
       return;
     }
     polling = true;
@@ -131,7 +131,7 @@
   }
 
   /**
-   * Offers an edit to the history and puts it in force here once accepted.
+   * Proposes an edit to the history and applies it at this node once accepted.
    *
    * @return the accepted change
    */
@@ -155,14 +155,14 @@
           .writeSnapshot(state)
           .exceptionally(
               failure -> {
-                // Readers go without: they read the single changes.
+                // Not needed: readers read the individual changes instead.
                 Logger.warn("event=snapshot-failed cause={}", failure.toString());
                 return null;
               });
     }
   }
 
-  /** Announces that this node leaves. */
+  /** Announces to the other nodes that this node leaves the cluster. */
   public void announceLeaving() {
     eventLoop.execute(() -> sendAll(node.leave()));
   }
@@ -172,7 +172,7 @@
     return transport.address();
   }
 
-  /** Returns the transport, for its counters and for cuts in tests. */
+  /** Returns the transport, for its counters and for simulated network partitions in tests. */
   public PeerTransport transport() {
     return transport;
   }
--- a/router/src/main/java/org/lockdale/router/controller/EngineController.java
+++ b/router/src/main/java/org/lockdale/router/controller/EngineController.java
@@ -23,19 +23,19 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps the section {@code engines}: which engines there are, from the platform's machine list or,
- * while that is down, from a peer's copy of it; and how they are, from their own reports. Runs on
- * one event loop.
+ * Publishes the section {@code engines}: the engines in the platform's machine list, with the load
+ * that they report. If the list can't be read and none is known yet, uses a peer's copy of it. Runs
+ * on one event loop.
  */
 public final class EngineController implements Closeable {
 
-  /** Path of the copy of the machine list at the operators' port. */
+  /** Path of this node's copy of the machine list at the operators' port. */
   public static final String MACHINES_PATH = "/v1/machines";
 
-  /** Engines that the list has dropped are kept this long, since the list may be wrong. */
-  private static final long DROPPED_RETENTION_MILLIS = 10_000;
+  /** Engines that are no longer listed are kept this long, since the list may be wrong. */
+  private static final long UNLISTED_RETENTION_MILLIS = 10_000;
 
-  /** Longest time that a report waits for others before it is published. */
+  /** Time for which a report waits for others before it is published. */
   private static final long PUBLICATION_DELAY_MILLIS = 10;
 
   private final EventLoop eventLoop;
@@ -48,21 +48,21 @@
   private final Runnable onReport;
   private final Map<String, EngineRecord> records = new HashMap<>();
   private volatile List<Machine> machines = List.of();
-  private PolicySet labelledWith = PolicySet.EMPTY;
-  private boolean publicationDue;
+  private PolicySet publishedPolicies = PolicySet.EMPTY;
+  private boolean publicationScheduled;
   private volatile boolean closed;
 
   /**
    * Starts the controller.
    *
    * @param eventLoop runs the controller
-   * @param blackboard where to publish
-   * @param engines calls engines
-   * @param machineLists reads machine lists
+   * @param blackboard blackboard to publish to
+   * @param engines client of the engines
+   * @param machineLists client of machine lists
    * @param platform address of the platform
    * @param settings zone and intervals
    * @param time clock
-   * @param onReport called after new reports, which may have shown room
+   * @param onReport called after new reports are published, which may show free capacity
    */
   public EngineController(
       EventLoop eventLoop,
@@ -97,7 +97,7 @@
         TimeUnit.MILLISECONDS);
   }
 
-  /** Returns the machine list as last read. */
+  /** Returns the last machine list that was read, or an empty list. */
   public List<Machine> machines() {
     return machines;
   }
@@ -124,8 +124,8 @@
             .readIfChanged(member.operatorAddress(), MACHINES_PATH)
             .whenCompleteAsync(
                 (list, failure) -> {
-                  boolean helps = failure == null && machines.isEmpty() && list.isPresent();
-                  if (helps && !list.get().isEmpty()) {
+                  boolean isFirst = failure == null && machines.isEmpty() && list.isPresent();
+                  if (isFirst && !list.get().isEmpty()) {
                     accept(list.get());
                   }
                 },
@@ -140,15 +140,15 @@
     for (Machine machine : list) {
       if (machine.isEngine()) {
         EngineRecord record = records.get(machine.id());
-        if (record == null || !record.isAt(machine)) {
+        if (record == null || !record.hasAddressOf(machine)) {
           records.put(machine.id(), new EngineRecord(machine, now));
           readReport(records.get(machine.id()));
         } else {
-          record.listed(machine, now);
+          record.updateMachine(machine, now);
         }
       }
     }
-    records.values().removeIf(record -> record.isDropped(now, DROPPED_RETENTION_MILLIS));
+    records.values().removeIf(record -> record.isExpired(now, UNLISTED_RETENTION_MILLIS));
     publish();
   }
 
@@ -159,41 +159,44 @@
           record.machine().zone().equals(settings.zone())
               ? settings.reportInterval()
               : settings.remoteReportInterval();
-      if (record.wantsReport(now, interval.toMillis())) {
+      if (record.isReportDue(now, interval.toMillis())) {
         readReport(record);
       }
     }
-    if (labelledWith != blackboard.policies().value()) {
+    if (publishedPolicies != blackboard.policies().value()) {
       publish();
     }
   }
 
   private void readReport(EngineRecord record) {
-    record.reportAsked(time.monotonicMillis());
+    record.markReportRequested(time.monotonicMillis());
     engines
         .report(record.address())
-        .whenCompleteAsync((report, failure) -> reported(record, report, failure), eventLoop);
+        .whenCompleteAsync((report, failure) -> handleReport(record, report, failure), eventLoop);
   }
 
-  private void reported(EngineRecord record, EngineReport report, Throwable failure) {
+  private void handleReport(EngineRecord record, EngineReport report, Throwable failure) {
     long now = time.monotonicMillis();
-    record.reportAnswered();
+    record.markReportFinished();
     if (failure != null) {
-      record.activity().failed(now);
+      record.activity().recordFailure(now);
       Logger.debug("event=report-failed engine={}", record.machine().id());
       return;
     }
-    record.reported(report, now);
-    publishSoon();
+    record.updateReport(report, now);
+    schedulePublication();
   }
 
-  /** Gathers reports that come close together, since each publication renders all engines anew. */
-  private void publishSoon() {
-    if (!publicationDue) {
-      publicationDue = true;
+  /**
+   * Schedules a publication that includes all reports until then, since each one rebuilds the views
+   * of all engines.
+   */
+  private void schedulePublication() {
+    if (!publicationScheduled) {
+      publicationScheduled = true;
       eventLoop.schedule(
           () -> {
-            publicationDue = false;
+            publicationScheduled = false;
             publish();
             onReport.run();
           },
@@ -204,7 +207,7 @@
 
   private void publish() {
     PolicySet policies = blackboard.policies().value();
-    labelledWith = policies;
+    publishedPolicies = policies;
     List<EngineView> views = new ArrayList<>(records.size());
     for (EngineRecord record : records.values()) {
       views.add(record.toView(policies));
--- a/router/src/main/java/org/lockdale/router/controller/EngineControllerSettings.java
+++ b/router/src/main/java/org/lockdale/router/controller/EngineControllerSettings.java
@@ -6,9 +6,9 @@
  * Zone and intervals of an {@link EngineController}.
  *
  * @param zone zone of this node
- * @param reportInterval time between reads of the load of an engine in the zone
+ * @param reportInterval interval between load reports of an engine in the zone
  * @param remoteReportInterval the same for an engine in another zone
- * @param machineListInterval time between reads of the machine list
+ * @param machineListInterval interval between reads of the machine list
  */
 public record EngineControllerSettings(
     String zone,
--- a/router/src/main/java/org/lockdale/router/controller/EngineRecord.java
+++ b/router/src/main/java/org/lockdale/router/controller/EngineRecord.java
@@ -13,10 +13,10 @@
 import org.lockdale.router.policy.LabelNames;
 import org.lockdale.router.policy.PolicySet;
 
-/** What the controller holds of one engine; used on the controller's event loop only. */
+/** State of one engine, confined to the controller's event loop. */
 final class EngineRecord {
 
-  /** A report that was asked for and not answered holds the next one back this long at most. */
+  /** A pending request for a report delays the next one by at most this long. */
   private static final long REPORT_TIMEOUT_MILLIS = 1_000;
 
   private final InetSocketAddress address;
@@ -24,7 +24,7 @@
   private final long identity;
   private Machine machine;
   private long listedAtMillis;
-  private long reportAskedAtMillis = Long.MIN_VALUE / 2;
+  private long reportRequestedAtMillis = Long.MIN_VALUE / 2;
   private boolean reportPending;
   private @Nullable EngineReport report;
   private EngineLoad load = EngineLoad.UNKNOWN;
@@ -48,38 +48,38 @@
     return activity;
   }
 
-  boolean isAt(Machine other) {
+  boolean hasAddressOf(Machine other) {
     return machine.host().equals(other.host()) && machine.port() == other.port();
   }
 
-  void listed(Machine newMachine, long nowMillis) {
+  void updateMachine(Machine newMachine, long nowMillis) {
     machine = newMachine;
     listedAtMillis = nowMillis;
   }
 
-  boolean isDropped(long nowMillis, long retentionMillis) {
+  boolean isExpired(long nowMillis, long retentionMillis) {
     return nowMillis - listedAtMillis > retentionMillis;
   }
 
-  boolean wantsReport(long nowMillis, long intervalMillis) {
-    long age = nowMillis - reportAskedAtMillis;
+  boolean isReportDue(long nowMillis, long intervalMillis) {
+    long age = nowMillis - reportRequestedAtMillis;
     return reportPending ? age >= REPORT_TIMEOUT_MILLIS : age >= intervalMillis;
   }
 
-  void reportAsked(long nowMillis) {
-    reportAskedAtMillis = nowMillis;
+  void markReportRequested(long nowMillis) {
+    reportRequestedAtMillis = nowMillis;
     reportPending = true;
   }
 
-  void reportAnswered() {
+  void markReportFinished() {
     reportPending = false;
   }
 
-  void reported(EngineReport newReport, long nowMillis) {
+  void updateReport(EngineReport newReport, long nowMillis) {
     report = newReport;
     load = newReport.toLoad(nowMillis);
     activity.reported();
-    activity.succeeded();
+    activity.recordSuccess();
   }
 
   EngineView toView(PolicySet policies) {
--- a/router/src/main/java/org/lockdale/router/controller/package-info.java
+++ b/router/src/main/java/org/lockdale/router/controller/package-info.java
@@ -1,4 +1,4 @@
-/** Controllers: each keeps one section of the blackboard up to date. */
+/** Controllers, which keep the sections of the blackboard up to date. */
 @NullMarked
 package org.lockdale.router.controller;
 
--- a/router/src/main/java/org/lockdale/router/engine/AttemptFate.java
+++ b/router/src/main/java/org/lockdale/router/engine/AttemptFate.java
@@ -1,16 +1,16 @@
 package org.lockdale.router.engine;
 
-/** What an engine says became of an attempt. */
+/** State of an attempt as reported by its engine. */
 public enum AttemptFate {
-  /** It did not run and, once cancelled, never will. */
+  /** It has not started and, once cancelled, never will. */
   NEVER_STARTED,
   /** It is running. */
   RUNNING,
-  /** It ran in part. */
+  /** It was cancelled after it had started. */
   CANCELLED,
-  /** It ran to its end. */
+  /** It ran to completion. */
   FINISHED,
-  /** Nobody can tell. */
+  /** Its state can't be determined. */
   UNKNOWN;
 
   static AttemptFate parse(String text) {
--- a/router/src/main/java/org/lockdale/router/engine/AttemptMessage.java
+++ b/router/src/main/java/org/lockdale/router/engine/AttemptMessage.java
@@ -1,17 +1,17 @@
 package org.lockdale.router.engine;
 
 /**
- * One attempt as an engine is told of it.
+ * Contents of the request that sends an attempt to an engine.
  *
  * @param attemptId unique for each dispatch
- * @param path endpoint
+ * @param path path of the endpoint
  * @param body the caller's body, unchanged
- * @param modelName model as the caller named it
+ * @param modelName model name as sent by the caller
  * @param kindName name of the endpoint's kind
  * @param tenant tenant
- * @param weightsVersion weights version the model must have
- * @param cacheSalt salt of cached blocks
- * @param priorityLevel higher runs first
+ * @param weightsVersion weights version that the engine must hold
+ * @param cacheSalt salt of the hashes of cached blocks
+ * @param priorityLevel 0 to 1000; higher runs first
  */
 public record AttemptMessage(
     String attemptId,
--- a/router/src/main/java/org/lockdale/router/engine/EngineActivity.java
+++ b/router/src/main/java/org/lockdale/router/engine/EngineActivity.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * What this node itself does with one engine, counted at once while reports lag. Safe for use by
- * several threads; lives as long as the engine is known.
+ * Counts of this node's requests to one engine, which are up to date while load reports lag, and
+ * its recent failures. Safe for use by several threads; kept as long as the engine is known.
  */
 public final class EngineActivity {
 
@@ -25,48 +25,48 @@
     tokensSinceReport.addAndGet(uncachedPromptTokens);
   }
 
-  /** Counts the end of a request. */
+  /** Counts a request as ended. */
   public void ended() {
     inFlight.decrementAndGet();
   }
 
-  /** Forgets what a new report already contains. */
+  /** Resets the counts of requests and tokens that a new load report already contains. */
   public void reported() {
     sentSinceReport.set(0);
     tokensSinceReport.set(0);
   }
 
-  /** Notes a failure to reach the engine, which is then avoided for a while. */
-  public void failed(long nowMillis) {
+  /** Records a failure of the engine, which is then avoided with exponential backoff. */
+  public void recordFailure(long nowMillis) {
     int failures = failuresInRow.incrementAndGet();
     long backoff = FIRST_BACKOFF_MILLIS << Math.min(failures - 1, 10);
     avoidUntilMillis.set(nowMillis + Math.min(backoff, MAX_BACKOFF_MILLIS));
   }
 
-  /** Notes a sign of life. */
-  public void succeeded() {
+  /** Records a successful exchange, which ends the backoff. */
+  public void recordSuccess() {
     if (failuresInRow.get() != 0) {
       failuresInRow.set(0);
       avoidUntilMillis.set(Long.MIN_VALUE);
     }
   }
 
-  /** Returns whether the engine is to be avoided for its failures. */
+  /** Returns whether the engine is to be avoided because of recent failures. */
   public boolean isAvoided(long nowMillis) {
     return nowMillis < avoidUntilMillis.get();
   }
 
-  /** Returns requests of this node that the engine has not finished. */
+  /** Returns the number of this node's requests that the engine has not finished. */
   public int inFlight() {
     return inFlight.get();
   }
 
-  /** Returns requests sent since the last report. */
+  /** Returns the number of requests sent since the last report. */
   public int sentSinceReport() {
     return sentSinceReport.get();
   }
 
-  /** Returns prompt tokens sent since the last report that the engine must compute. */
+  /** Returns the number of uncached prompt tokens sent since the last report. */
   public long tokensSinceReport() {
     return tokensSinceReport.get();
   }
--- a/router/src/main/java/org/lockdale/router/engine/EngineClient.java
+++ b/router/src/main/java/org/lockdale/router/engine/EngineClient.java
@@ -18,7 +18,7 @@
 import org.lockdale.http.HttpResponseListener;
 import org.lockdale.openai.HeaderNames;
 
-/** Calls engines. */
+/** Client of the HTTP interface of engines. */
 public final class EngineClient {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -33,7 +33,10 @@
     this.client = client;
   }
 
-  /** Sends an attempt with its fence. */
+  /**
+   * Sends an attempt. Its headers name the incarnation and the weights version that it is meant
+   * for, so that another incarnation or an engine with other weights rejects it.
+   */
   public HttpCall dispatch(
       EventLoop eventLoop,
       EngineView engine,
@@ -53,7 +56,7 @@
     return client.send(eventLoop, engine.address(), request, listener);
   }
 
-  /** Takes a stream up again after an event. */
+  /** Resumes a stream after the event with an id. */
   public HttpCall resume(
       EventLoop eventLoop,
       EngineView engine,
@@ -69,39 +72,40 @@
   }
 
   /**
-   * Cancels an attempt and leaves a tombstone where it did not start.
+   * Cancels an attempt. If it has not started, the engine keeps a tombstone so that it never will.
    *
-   * @return what became of it; {@link AttemptFate#UNKNOWN} where the engine gave no answer or is
-   *     not the incarnation that was meant
+   * @return its state; {@link AttemptFate#UNKNOWN} if the engine did not respond or is another
+   *     incarnation than the view's
    */
   public CompletableFuture<AttemptFate> cancel(EngineView engine, String attemptId) {
     HttpRequestMessage request =
         HttpRequestMessage.json(HttpMethod.POST, ATTEMPTS + attemptId + "/cancel", new byte[0]);
-    return fate(engine, request);
+    return requestFate(engine, request);
   }
 
-  /** Asks for the fate of an attempt without changing it. */
-  public CompletableFuture<AttemptFate> ask(EngineView engine, String attemptId) {
-    return fate(engine, HttpRequestMessage.get(ATTEMPTS + attemptId));
+  /** Queries the state of an attempt without changing it; see {@link #cancel} for the result. */
+  public CompletableFuture<AttemptFate> queryFate(EngineView engine, String attemptId) {
+    return requestFate(engine, HttpRequestMessage.get(ATTEMPTS + attemptId));
   }
 
-  private CompletableFuture<AttemptFate> fate(EngineView engine, HttpRequestMessage request) {
+  private CompletableFuture<AttemptFate> requestFate(
+      EngineView engine, HttpRequestMessage request) {
     return client
         .exchange(engine.address(), request, CONTROL_TIMEOUT)
         .handle(
             (reply, failure) -> {
               boolean answered = failure == null && reply.status() == OK;
-              boolean sameLife =
+              boolean sameIncarnation =
                   answered
                       && engine
                           .incarnation()
                           .equals(reply.headers().get(HeaderNames.ENGINE_INCARNATION));
-              // Another incarnation knows nothing of what its predecessor ran.
-              return sameLife ? fateOf(reply) : AttemptFate.UNKNOWN;
+              // Another incarnation has no information about attempts of its predecessor.
+              return sameIncarnation ? parseFate(reply) : AttemptFate.UNKNOWN;
             });
   }
 
-  private static AttemptFate fateOf(HttpReply reply) {
+  private static AttemptFate parseFate(HttpReply reply) {
     try {
       JsonNode fate = MAPPER.readTree(reply.body()).path("fate");
       return AttemptFate.parse(fate.asText());
@@ -110,14 +114,15 @@
     }
   }
 
-  /** Reads an engine's load report. */
+  /** Reads an engine's load report; fails if there is no valid response. */
   public CompletableFuture<EngineReport> report(InetSocketAddress address) {
     return client
         .exchange(address, HttpRequestMessage.get("/v1/load"), CONTROL_TIMEOUT)
         .thenApply(
             reply -> {
               if (reply.status() != OK) {
-                throw new IllegalStateException("the engine answered " + reply.status());
+                throw new IllegalStateException(
+                    "the engine responded with status " + reply.status());
               }
               try {
                 return MAPPER.readValue(reply.body(), EngineReport.class);
--- a/router/src/main/java/org/lockdale/router/engine/EngineLoad.java
+++ b/router/src/main/java/org/lockdale/router/engine/EngineLoad.java
@@ -3,12 +3,12 @@
 /**
  * Load of an engine as it last reported.
  *
- * @param running sequences in its batch
- * @param queued requests that wait in it
- * @param pendingPromptTokens prompt tokens not yet computed
- * @param maxRunning most sequences in its batch
- * @param prefillTokensPerSecond speed of prefill
- * @param reportedAtMillis monotonic time of the report
+ * @param running number of sequences in its batch
+ * @param queued number of requests in its queue
+ * @param pendingPromptTokens number of prompt tokens not yet computed
+ * @param maxRunning maximum number of sequences in its batch
+ * @param prefillTokensPerSecond prefill speed
+ * @param reportedAtMillis monotonic time at which the report was received
  */
 public record EngineLoad(
     int running,
@@ -18,6 +18,6 @@
     long prefillTokensPerSecond,
     long reportedAtMillis) {
 
-  /** Load of an engine that has not reported yet: idle, of ordinary size. */
+  /** Assumed load of an engine that has not reported yet: idle, of typical size and speed. */
   public static final EngineLoad UNKNOWN = new EngineLoad(0, 0, 0, 32, 20_000, 0);
 }
--- a/router/src/main/java/org/lockdale/router/engine/EngineReport.java
+++ b/router/src/main/java/org/lockdale/router/engine/EngineReport.java
@@ -4,18 +4,18 @@
 import java.util.Map;
 
 /**
- * What an engine tells of itself.
+ * Status and load of an engine as reported by itself.
  *
  * @param id engine id
  * @param incarnation changes with every restart
  * @param labels labels of the engine
- * @param leaving whether it takes no new work
+ * @param leaving whether it is draining and accepts no new work
  * @param weights weights version by model
- * @param running sequences in the batch
- * @param queued requests that wait
- * @param queuedPromptTokens prompt tokens not yet computed
- * @param maxRunning most sequences in one batch
- * @param prefillTokensPerSecond speed of prefill
+ * @param running number of sequences in the batch
+ * @param queued number of requests in its queue
+ * @param queuedPromptTokens number of prompt tokens not yet computed
+ * @param maxRunning maximum number of sequences in one batch
+ * @param prefillTokensPerSecond prefill speed
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record EngineReport(
@@ -30,7 +30,7 @@
     int maxRunning,
     long prefillTokensPerSecond) {
 
-  /** Returns the load of the report, as of a time. */
+  /** Returns the load of the report, received at a monotonic time. */
   public EngineLoad toLoad(long nowMillis) {
     return new EngineLoad(
         running,
--- a/router/src/main/java/org/lockdale/router/engine/package-info.java
+++ b/router/src/main/java/org/lockdale/router/engine/package-info.java
@@ -1,4 +1,4 @@
-/** Model engines as a node sees and calls them. */
+/** Model engines: their state as known to a node, and the client that calls them. */
 @NullMarked
 package org.lockdale.router.engine;
 
--- a/router/src/main/java/org/lockdale/router/limit/CapacityQueue.java
+++ b/router/src/main/java/org/lockdale/router/limit/CapacityQueue.java
@@ -11,13 +11,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Requests that wait at this node for room at an engine. Higher priority goes first; within a
- * priority tenants share by weight (start-time fair queueing), so the flood of one tenant makes
- * only itself wait. Safe for use by several threads.
+ * Queue of requests that wait at this node for capacity at an engine. Higher priorities are started
+ * first. Within a priority, tenants share capacity by weight (start-time fair queueing), so that a
+ * burst of one tenant delays mainly its own requests. Safe for use by several threads.
  */
 public final class CapacityQueue {
 
-  /** A request that waits. */
+  /** A queued request. */
   public static final class Waiter {
     private final String tenant;
     private final int weight;
@@ -31,7 +31,7 @@
       this.starter = starter;
     }
 
-    /** Returns a future that completes when the request has found room. */
+    /** Returns a future that completes when capacity has been reserved for the request. */
     public CompletableFuture<Void> started() {
       return started;
     }
@@ -44,7 +44,7 @@
     int size;
   }
 
-  private static final double COST = 100;
+  private static final double REQUEST_COST = 100;
 
   private final int maxLength;
   private final TreeMap<Integer, Level> levels = new TreeMap<>((left, right) -> right - left);
@@ -53,7 +53,7 @@
   /**
    * Creates an empty queue.
    *
-   * @param maxLength most requests that may wait
+   * @param maxLength maximum number of queued requests
    */
   public CapacityQueue(int maxLength) {
     this.maxLength = maxLength;
@@ -62,12 +62,12 @@
   /**
    * Adds a request.
    *
-   * @param priorityLevel higher goes first
+   * @param priorityLevel higher levels are started first
    * @param tenant tenant
-   * @param weight share of the tenant
-   * @param starter takes room for the request if there is some; called with the queue locked, so it
-   *     must be short
-   * @return the waiter, or null where the queue is full
+   * @param weight relative share of the tenant
+   * @param starter reserves capacity for the request and returns whether there was any; called with
+   *     the queue locked, so it must be short
+   * @return the waiter, or null if the queue is full
    */
   public synchronized @Nullable Waiter add(
       int priorityLevel, String tenant, int weight, BooleanSupplier starter) {
@@ -78,7 +78,7 @@
     Waiter waiter = new Waiter(tenant, weight, starter);
     double start =
         Math.max(level.virtualTime, level.lastFinish.getOrDefault(tenant, level.virtualTime));
-    waiter.finishTag = start + COST / weight;
+    waiter.finishTag = start + REQUEST_COST / weight;
     level.lastFinish.put(tenant, waiter.finishTag);
     level.byTenant.computeIfAbsent(tenant, absent -> new ArrayDeque<>()).add(waiter);
     level.size++;
@@ -86,19 +86,19 @@
     return waiter;
   }
 
-  /** Takes a request out that has given up; false where it has already started. */
+  /** Removes a request that is given up; returns false if it is no longer queued. */
   public synchronized boolean remove(Waiter waiter) {
     for (Level level : levels.values()) {
       Deque<Waiter> queue = level.byTenant.get(waiter.tenant);
       if (queue != null && queue.remove(waiter)) {
-        shrink(level, waiter.tenant, queue);
+        updateAfterRemoval(level, waiter.tenant, queue);
         return true;
       }
     }
     return false;
   }
 
-  private void shrink(Level level, String tenant, Deque<Waiter> queue) {
+  private void updateAfterRemoval(Level level, String tenant, Deque<Waiter> queue) {
     length--;
     level.size--;
     if (queue.isEmpty()) {
@@ -110,20 +110,21 @@
   }
 
   /**
-   * Starts requests as long as there is room, in order. A request that finds none lets the others
-   * of its tenant wait too, but not other tenants, whose engines may be others.
+   * Starts requests in order while there is capacity. If there is none for a request, the later
+   * ones of its tenant at that priority wait too, but those of other tenants are tried, since they
+   * may use other engines.
    */
   public void drain() {
-    Waiter next = takeStartable();
+    Waiter next = pollStartable();
     while (next != null) {
       next.started.complete(null);
-      next = takeStartable();
+      next = pollStartable();
     }
   }
 
-  private synchronized @Nullable Waiter takeStartable() {
+  private synchronized @Nullable Waiter pollStartable() {
     for (Level level : levels.values()) {
-      Waiter found = takeStartable(level);
+      Waiter found = pollStartable(level);
       if (found != null) {
         return found;
       }
@@ -131,15 +132,16 @@
     return null;
   }
 
-  private @Nullable Waiter takeStartable(Level level) {
+  private @Nullable Waiter pollStartable(Level level) {
     Iterator<Waiter> heads = headsInOrder(level);
     while (heads.hasNext()) {
       Waiter head = heads.next();
       if (head.starter.getAsBoolean()) {
         Deque<Waiter> queue = level.byTenant.get(head.tenant);
         queue.poll();
-        level.virtualTime = Math.max(level.virtualTime, head.finishTag - COST / head.weight);
-        shrink(level, head.tenant, queue);
+        level.virtualTime =
+            Math.max(level.virtualTime, head.finishTag - REQUEST_COST / head.weight);
+        updateAfterRemoval(level, head.tenant, queue);
         return head;
       }
     }
@@ -153,12 +155,12 @@
         .iterator();
   }
 
-  /** Returns how many requests wait. */
+  /** Returns the number of queued requests. */
   public synchronized int length() {
     return length;
   }
 
-  /** Returns how many requests of a priority or a higher one wait. */
+  /** Returns the number of queued requests of a priority level or a higher one. */
   public synchronized int lengthAtOrAbove(int priorityLevel) {
     int count = 0;
     for (Map.Entry<Integer, Level> entry : levels.entrySet()) {
--- a/router/src/main/java/org/lockdale/router/limit/RetryBudget.java
+++ b/router/src/main/java/org/lockdale/router/limit/RetryBudget.java
@@ -3,24 +3,24 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Bounds retries to a share of successes, so that a failing pool of engines is not met with a
- * multiple of its traffic. Safe for use by several threads.
+ * Limits retries to a fraction of successful requests, so that retries do not multiply the traffic
+ * to a failing pool of engines. Safe for use by several threads.
  */
 public final class RetryBudget {
 
-  /** One retry costs what this many successes bring. */
+  /** Number of successful requests that earn one retry. */
   private static final int SUCCESSES_PER_RETRY = 5;
 
-  private static final int MAX_SAVED_RETRIES = 20;
+  private static final int MAX_STORED_RETRIES = 20;
 
-  private final AtomicInteger credit = new AtomicInteger(MAX_SAVED_RETRIES * SUCCESSES_PER_RETRY);
+  private final AtomicInteger credit = new AtomicInteger(MAX_STORED_RETRIES * SUCCESSES_PER_RETRY);
 
-  /** Notes a request that succeeded at its first attempt. */
-  public void succeeded() {
-    credit.updateAndGet(before -> Math.min(before + 1, MAX_SAVED_RETRIES * SUCCESSES_PER_RETRY));
+  /** Records a request that succeeded at its first attempt. */
+  public void recordSuccess() {
+    credit.updateAndGet(before -> Math.min(before + 1, MAX_STORED_RETRIES * SUCCESSES_PER_RETRY));
   }
 
-  /** Takes one retry from the budget; false where it is used up. */
+  /** Takes one retry from the budget; returns false if it is used up. */
   public boolean tryRetry() {
     int before =
         credit.getAndUpdate(
--- a/router/src/main/java/org/lockdale/router/limit/TenantUsage.java
+++ b/router/src/main/java/org/lockdale/router/limit/TenantUsage.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.lockdale.router.policy.TenantLimit;
 
-/** What one tenant uses of its limits at this node. Safe for use by several threads. */
+/** Usage of one tenant's limits at this node. Safe for use by several threads. */
 public final class TenantUsage {
 
   private static final long WINDOW_MILLIS = 1_000;
@@ -14,13 +14,13 @@
   private final AtomicInteger inFlight = new AtomicInteger();
   private final RetryBudget retryBudget = new RetryBudget();
 
-  /** Number of the current second in the high bits, requests in it in the low ones. */
+  /** Number of the current second in the high bits, number of its requests in the low bits. */
   private final AtomicLong window = new AtomicLong();
 
   /**
-   * Takes a place for one request; {@link #release} must follow where it was granted.
+   * Acquires a slot for one request; if granted, it must be released by {@link #release}.
    *
-   * @return whether the limits leave room
+   * @return whether the request is within the limits
    */
   public boolean tryAcquire(TenantLimit limit, long nowMillis) {
     if (inFlight.incrementAndGet() > limit.maxInFlight()) {
@@ -34,12 +34,12 @@
     return true;
   }
 
-  private boolean countInWindow(int most, long nowMillis) {
+  private boolean countInWindow(int maxRequests, long nowMillis) {
     long second = nowMillis / WINDOW_MILLIS;
     while (true) {
       long before = window.get();
       long count = before >>> COUNT_BITS == second ? before & COUNT_MASK : 0;
-      if (count >= most) {
+      if (count >= maxRequests) {
         return false;
       }
       if (window.compareAndSet(before, second << COUNT_BITS | count + 1)) {
@@ -48,17 +48,17 @@
     }
   }
 
-  /** Gives the place of a request back. */
+  /** Releases the slot of a request. */
   public void release() {
     inFlight.decrementAndGet();
   }
 
-  /** Returns requests in flight. */
+  /** Returns the number of requests in flight. */
   public int inFlight() {
     return inFlight.get();
   }
 
-  /** Returns the tenant's budget for retries. */
+  /** Returns the tenant's retry budget. */
   public RetryBudget retryBudget() {
     return retryBudget;
   }
--- a/router/src/main/java/org/lockdale/router/limit/package-info.java
+++ b/router/src/main/java/org/lockdale/router/limit/package-info.java
@@ -1,4 +1,4 @@
-/** Limits, the queue for engine capacity and retry budgets. */
+/** Tenant limits, the queue for engine capacity, and retry budgets. */
 @NullMarked
 package org.lockdale.router.limit;
 
--- a/router/src/main/java/org/lockdale/router/node/CallerApi.java
+++ b/router/src/main/java/org/lockdale/router/node/CallerApi.java
@@ -19,7 +19,7 @@
 import org.lockdale.router.error.RequestException;
 import org.lockdale.router.request.RequestPath;
 
-/** The callers' HTTP interface: dispatches paths and methods. */
+/** The HTTP interface of callers: dispatches requests by path and method. */
 final class CallerApi implements HttpHandler {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -37,8 +37,8 @@
   public void handle(HttpExchange exchange) {
     try {
       route(exchange);
-    } catch (RequestException refused) {
-      exchange.reply(refused.toReply(UUID.randomUUID().toString()));
+    } catch (RequestException rejected) {
+      exchange.reply(rejected.toReply(UUID.randomUUID().toString()));
     }
   }
 
--- a/router/src/main/java/org/lockdale/router/node/StartedOperators.java
+++ b/router/src/main/java/org/lockdale/router/node/DeferredOperatorHandler.java
@@ -7,24 +7,24 @@
 import org.lockdale.http.HttpReply;
 
 /**
- * Answers operators while the node is still being assembled: the port must be bound before peers
- * can be told of it.
+ * Responds to operators with 503 until the handler is set. The operators' port must be bound before
+ * the node is assembled, because its number is announced to peers.
  */
-final class StartedOperators implements HttpHandler {
+final class DeferredOperatorHandler implements HttpHandler {
 
-  private volatile @Nullable HttpHandler handler;
+  private volatile @Nullable HttpHandler delegate;
 
-  void start(HttpHandler started) {
-    handler = started;
+  void setDelegate(HttpHandler handler) {
+    delegate = handler;
   }
 
   @Override
   public void handle(HttpExchange exchange) {
-    HttpHandler started = handler;
-    if (started == null) {
+    HttpHandler handler = delegate;
+    if (handler == null) {
       exchange.reply(HttpReply.text(503, "starting\n"));
     } else {
-      started.handle(exchange);
+      handler.handle(exchange);
     }
   }
 
--- a/router/src/main/java/org/lockdale/router/node/RouterNode.java
+++ b/router/src/main/java/org/lockdale/router/node/RouterNode.java
@@ -41,13 +41,16 @@
 import org.lockdale.router.settings.NodeSettings;
 import org.tinylog.Logger;
 
-/** One node: assembled from settings, started, stopped as planned or closed at once. */
+/**
+ * One node, assembled from its settings. It is shut down gracefully by {@link #stop} or at once by
+ * {@link #close}.
+ */
 public final class RouterNode implements Closeable {
 
-  /** Name prefix of the threads that serve requests. */
+  /** Name prefix of the event loop threads that serve requests. */
   public static final String REQUEST_THREADS = "node-requests";
 
-  /** Name prefix of the thread that does everything else. */
+  /** Name prefix of the event loop thread for all other work, such as coordination and status. */
   public static final String CONTROL_THREADS = "node-control";
 
   private static final long PHASE_CHECK_MILLIS = 50;
@@ -81,7 +84,7 @@
     PrefixIndex prefixes =
         new PrefixIndex(
             settings.get(NodeSettings.PREFIX_INDEX_CAPACITY),
-            settings.get(NodeSettings.PREFIX_BELIEF_LIFETIME).toMillis());
+            settings.get(NodeSettings.PREFIX_ENTRY_LIFETIME).toMillis());
     HttpClient controlClient = new HttpClient(controlLoop);
     HttpClient requestClient = new HttpClient(eventLoops);
     TableService tables =
@@ -90,7 +93,7 @@
             settings.get(NodeSettings.PLATFORM_ADDRESS),
             settings.get(NodeSettings.PLATFORM_TIMEOUT));
     requestPath = buildRequestPath(prefixes, requestClient, tables);
-    StartedOperators operators = new StartedOperators();
+    DeferredOperatorHandler operators = new DeferredOperatorHandler();
     operatorServer =
         HttpServer.start(
             HttpServerSettings.forAddress(addressOf(settings.get(NodeSettings.OPERATORS_PORT))),
@@ -105,16 +108,17 @@
             peerIdentity(operatorServer.address().getPort()),
             settings.get(NodeSettings.PLATFORM_POLL_INTERVAL));
     engineController = startEngineController(controlClient);
-    operators.start(operatorApi(prefixes, controlClient));
+    operators.setDelegate(operatorApi(prefixes, controlClient));
     callerServer =
-        HttpServer.start(callerLimits(), eventLoops, new CallerApi(blackboard, requestPath));
+        HttpServer.start(
+            callerServerSettings(), eventLoops, new CallerApi(blackboard, requestPath));
     controlLoop
         .next()
         .scheduleAtFixedRate(this::advancePhase, 0, PHASE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     registerGauges();
   }
 
-  /** Starts a node; it serves as soon as it knows a configuration and an engine. */
+  /** Starts a node. It is ready once it has received a configuration and knows an engine. */
   public static RouterNode start(NodeSettings settings) {
     RouterNode node = new RouterNode(settings);
     Logger.info(
@@ -199,7 +203,7 @@
         settings.get(NodeSettings.OPERATORS_TOKEN));
   }
 
-  private HttpServerSettings callerLimits() {
+  private HttpServerSettings callerServerSettings() {
     return new HttpServerSettings(
         addressOf(settings.get(NodeSettings.CALLERS_PORT)),
         settings.get(NodeSettings.REQUEST_MAX_HEADER_BYTES),
@@ -215,16 +219,19 @@
         "lockdale_configuration_version",
         blackboard,
         board -> board.configuration().value().version());
-    metrics.gauge("lockdale_peer_bytes_sent", coordination, peer -> peer.transport().bytesSent());
     metrics.gauge(
-        "lockdale_peer_bytes_received", coordination, peer -> peer.transport().bytesReceived());
+        "lockdale_peer_bytes_sent", coordination, controller -> controller.transport().bytesSent());
+    metrics.gauge(
+        "lockdale_peer_bytes_received",
+        coordination,
+        controller -> controller.transport().bytesReceived());
   }
 
   private void advancePhase() {
-    boolean knowsEnough =
+    boolean isReady =
         blackboard.policies().value().version() > 0
             && !blackboard.engines().value().engines().isEmpty();
-    if (blackboard.phase().value() == NodePhase.STARTING && knowsEnough) {
+    if (blackboard.phase().value() == NodePhase.STARTING && isReady) {
       blackboard.phase().publish(NodePhase.SERVING, time.monotonicMillis());
       Logger.info("event=serving node={}", settings.get(NodeSettings.NODE_ID));
     }
@@ -245,7 +252,7 @@
     return coordination.peerAddress();
   }
 
-  /** Returns what the node believes. */
+  /** Returns the blackboard of the node. */
   public Blackboard blackboard() {
     return blackboard;
   }
@@ -255,13 +262,14 @@
     return callerServer.connectionCount();
   }
 
-  /** Returns requests that have not ended. */
+  /** Returns the number of requests that have not ended. */
   public int requestsInFlight() {
     return recorder.inFlight();
   }
 
   /**
-   * Stops as planned: other nodes are told, new requests are refused, open ones are finished.
+   * Shuts the node down gracefully: notifies the other nodes, rejects new requests and lets open
+   * ones finish until the drain timeout.
    *
    * @return completes when the node is closed
    */
@@ -272,21 +280,23 @@
         recorder.inFlight());
     blackboard.phase().publish(NodePhase.STOPPING, time.monotonicMillis());
     coordination.announceLeaving();
-    long giveUpAt =
+    long drainDeadlineMillis =
         time.monotonicMillis() + settings.get(NodeSettings.SHUTDOWN_DRAIN_TIMEOUT).toMillis();
     CompletableFuture<Void> drained = new CompletableFuture<>();
-    waitUntilDrained(giveUpAt, drained);
+    waitUntilDrained(drainDeadlineMillis, drained);
     return drained.thenRunAsync(this::close);
   }
 
-  private void waitUntilDrained(long giveUpAtMillis, CompletableFuture<Void> drained) {
+  private void waitUntilDrained(long drainDeadlineMillis, CompletableFuture<Void> drained) {
     boolean idle = recorder.inFlight() == 0 && requestPath.pendingClaimEnds() == 0;
-    if (idle || time.monotonicMillis() >= giveUpAtMillis) {
+    if (idle || time.monotonicMillis() >= drainDeadlineMillis) {
       drained.complete(null);
       return;
     }
     controlLoop.schedule(
-        () -> waitUntilDrained(giveUpAtMillis, drained), PHASE_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        () -> waitUntilDrained(drainDeadlineMillis, drained),
+        PHASE_CHECK_MILLIS,
+        TimeUnit.MILLISECONDS);
   }
 
   @Override
--- a/router/src/main/java/org/lockdale/router/placement/CacheSalt.java
+++ b/router/src/main/java/org/lockdale/router/placement/CacheSalt.java
@@ -5,17 +5,17 @@
 import org.lockdale.router.policy.ServedModel;
 
 /**
- * What keeps cached blocks apart: sent with each request to its engine, and mixed into every block
- * hash here and there.
+ * Salt that separates the cached blocks of different scopes. It is sent with each request to its
+ * engine and mixed into every block hash by both the node and the engine.
  *
- * @param value text of the header
+ * @param value value of the header
  */
 public record CacheSalt(String value) {
 
   /**
    * Returns the salt of a tenant's requests for a model at a weights version.
    *
-   * @param weightsVersion version that the engine holds, which may not be the wanted one
+   * @param weightsVersion version that the engine holds, which may differ from the target version
    */
   public static CacheSalt of(String tenant, ServedModel model, String weightsVersion) {
     String adapter =
@@ -24,7 +24,7 @@
     return new CacheSalt(Long.toHexString(scope.hash()));
   }
 
-  /** Returns the block hashes of a prompt, as an engine computes them that gets this salt. */
+  /** Returns the block hashes of a prompt, as an engine computes them with this salt. */
   public PrefixChain chainOf(byte[] prompt) {
     return PrefixChain.of(new CacheScope(value, "", "", ""), prompt);
   }
--- a/router/src/main/java/org/lockdale/router/placement/EngineChooser.java
+++ b/router/src/main/java/org/lockdale/router/placement/EngineChooser.java
@@ -9,32 +9,32 @@
 import org.lockdale.router.policy.Priority;
 
 /**
- * Chooses the engine of least cost: expected time to first token (waiting, prefill of what is not
- * cached, distance), with prefill weighed above the time it takes. The engine that rendezvous
- * hashing gives to a request's group of prompts is believed to hold their shared prefix, since all
- * nodes send them there; other engines are believed to hold a part of what this node saw them hold.
- * A pure function of its arguments. The weights were chosen by lockdale experiment run, see
- * docs/design/0002-placement.md.
+ * Chooses the engine of least cost: the expected time to the first token (waiting, prefill of
+ * uncached tokens, network latency), with prefill weighted higher than the time it takes. Engines
+ * that rendezvous hashing selects for a request's group of prompts are assumed to hold their shared
+ * prefix, since all nodes send the group there; other engines are assumed to hold a part of what
+ * this node observed. A pure function of its arguments. docs/design/0002-placement.md explains the
+ * weights.
  */
 public final class EngineChooser {
 
   private static final int TOKENS_PER_BLOCK = PrefixChain.BLOCK_BYTES / 4;
   private static final double MILLIS_PER_SECOND = 1_000;
 
-  /** Blocks of the prefix that name a group of prompts: 1,024 tokens. */
+  /** Number of prefix blocks that identify a group of prompts: 1,024 tokens. */
   private static final int GROUP_DEPTH = 16;
 
   /**
-   * Share of what an engine elsewhere was seen to hold that it is assumed to hold still. It is low
-   * on purpose: what every node finds at the home of a group is worth more than a copy only this
-   * node knows of.
+   * Fraction of an observed prefix that an engine is assumed to still hold. It is low because the
+   * copy at the home of a group, which every node uses, is worth more than one that only this node
+   * has observed.
    */
   private static final double EVIDENCE_CONFIDENCE = 0.5;
 
-  /** How much computing a token counts beyond the time it takes: it also delays all others. */
+  /** Cost of prefill relative to its duration, because it also delays all other requests. */
   private static final double RECOMPUTE_WEIGHT = 8;
 
-  /** Time that a sequence is assumed to keep its place in a full batch. */
+  /** Time for which a sequence is assumed to occupy a slot of a full batch. */
   private static final double ASSUMED_SERVICE_MILLIS = 1_000;
 
   private EngineChooser() {}
@@ -42,37 +42,37 @@
   /**
    * Chooses an engine.
    *
-   * @param request what is to be placed
-   * @param match what is believed of its prefix
+   * @param request request to place
+   * @param match observed holders of its prefix
    * @param engines all engines
-   * @param policies distances between zones
-   * @param ownZone zone of this node
+   * @param policies provides the latencies between zones
+   * @param localZone zone of this node
    * @param nowMillis monotonic time
-   * @return the choice, or empty where no engine may serve the request
+   * @return the choice, or empty if no engine may serve the request
    */
   public static Optional<Placement> choose(
       PlacementRequest request,
       PrefixMatch match,
       EngineTable engines,
       PolicySet policies,
-      String ownZone,
+      String localZone,
       long nowMillis) {
-    GroupHomes homes = homesOf(request, engines, match, nowMillis);
+    GroupHomes homes = selectHomes(request, engines, match, nowMillis);
     Placement best = null;
     double lowestCost = Double.MAX_VALUE;
     for (EngineView engine : engines.engines()) {
       if (!isCandidate(request, engine, nowMillis)) {
         continue;
       }
-      int cached = believedTokens(request, match, engine, homes);
+      int cached = estimateCachedTokens(request, match, engine, homes);
       int uncached = request.promptTokens() - cached;
-      double hopMillis = 2 * policies.latencyMillis(ownZone, engine.zone());
+      double hopMillis = 2 * policies.latencyMillis(localZone, engine.zone());
       double millis = waitMillis(engine) + prefillMillis(engine, uncached) + hopMillis;
       double cost = millis + (RECOMPUTE_WEIGHT - 1) * prefillMillis(engine, uncached);
       if (cost < lowestCost) {
         lowestCost = cost;
-        boolean room = hasRoom(engine, request.priorityLevel());
-        best = new Placement(engine, cached, millis, room);
+        boolean hasCapacity = hasCapacity(engine, request.priorityLevel());
+        best = new Placement(engine, cached, millis, hasCapacity);
       }
     }
     return Optional.ofNullable(best);
@@ -87,27 +87,27 @@
   }
 
   /**
-   * Returns the key by which a group of prompts finds its home: the prefix of a fixed depth, which
-   * all nodes can compute from the request alone, whatever they have seen before.
+   * Returns the key of a prompt's group for rendezvous hashing: the hash of the prefix of a fixed
+   * depth, which every node can compute from the request alone.
    */
   public static long groupKeyOf(PrefixChain chain) {
     int depth = Math.min(GROUP_DEPTH, chain.length());
     return depth == 0 ? 0 : chain.hashAt(depth - 1);
   }
 
-  private static GroupHomes homesOf(
+  private static GroupHomes selectHomes(
       PlacementRequest request, EngineTable engines, PrefixMatch match, long nowMillis) {
     GroupHomes homes = new GroupHomes(groupKeyOf(request.chain()));
     for (EngineView engine : engines.engines()) {
       if (isCandidate(request, engine, nowMillis)) {
-        homes.offer(engine);
+        homes.addCandidate(engine);
       }
     }
-    homes.settle(request.popularity(), match.seenHash());
+    homes.select(request.popularity(), match.seenHash());
     return homes;
   }
 
-  private static int believedTokens(
+  private static int estimateCachedTokens(
       PlacementRequest request, PrefixMatch match, EngineView engine, GroupHomes homes) {
     double tokens = match.depthAt(engine.identity()) * TOKENS_PER_BLOCK * EVIDENCE_CONFIDENCE;
     int sharedDepth = Math.max(match.seenDepth(), Math.min(GROUP_DEPTH, request.chain().length()));
@@ -128,11 +128,11 @@
   }
 
   /**
-   * Returns whether an engine takes one more request of a priority. Requests of high priority may
-   * queue inside the engine, which serves them first; others wait at the node, where they can still
-   * be ordered and refused.
+   * Returns whether an engine can accept one more request of a priority. Requests of high priority
+   * may queue inside the engine, which serves them first; others wait at the node, where they can
+   * still be reordered and rejected.
    */
-  private static boolean hasRoom(EngineView engine, int priorityLevel) {
+  private static boolean hasCapacity(EngineView engine, int priorityLevel) {
     double allowance = 1 + (double) priorityLevel / Priority.MAX_LEVEL;
     return engine.expectedOccupancy() < engine.load().maxRunning() * allowance;
   }
--- a/router/src/main/java/org/lockdale/router/placement/GroupHomes.java
+++ b/router/src/main/java/org/lockdale/router/placement/GroupHomes.java
@@ -4,38 +4,40 @@
 import org.lockdale.router.engine.EngineView;
 
 /**
- * The engines to which all nodes send a group of prompts: the first choices of rendezvous hashing,
- * more of them the more the group is asked for, so that none has to bear it alone. Filled for one
- * decision.
+ * The home engines of a group of prompts, to which all nodes send its requests: the first in the
+ * order of rendezvous hashing, more of them the larger the group's share of requests is, so that no
+ * single engine has to serve it all. Built for one decision.
  */
 final class GroupHomes {
 
-  /** Share of the shared prefix that a home is assumed to hold. */
+  /** Fraction of the shared prefix that a home is assumed to hold. */
   private static final double HOME_CONFIDENCE = 0.95;
 
-  /** The same for the next choice, to which all nodes turn when the homes are busy. */
+  /** The same for the next engine in order, which all nodes choose when the homes are busy. */
   private static final double NEXT_HOME_CONFIDENCE = 0.3;
 
-  /** Most homes of one group of prompts. */
+  /** Maximum number of homes of a group. */
   private static final int MAX_HOMES = 4;
 
-  /** Homes that a group gets for each engine's fair share of requests that it makes up. */
+  /**
+   * Number of homes for each fair share of requests; a fair share is one divided by the engines.
+   */
   private static final double HOMES_PER_FAIR_SHARE = 2;
 
   private final long groupKey;
   private final EngineView[] ranked = new EngineView[MAX_HOMES + 1];
   private final long[] weights = new long[MAX_HOMES + 1];
   private int rankedCount;
-  private int offered;
-  private int homes = 1;
+  private int candidateCount;
+  private int homeCount = 1;
 
   GroupHomes(long groupKey) {
     this.groupKey = groupKey;
   }
 
-  /** Offers an engine that may serve the request. */
-  void offer(EngineView engine) {
-    offered++;
+  /** Adds an engine that may serve the request. */
+  void addCandidate(EngineView engine) {
+    candidateCount++;
     long weight = Rendezvous.weight(groupKey, engine.identity());
     int place = rankedCount;
     while (place > 0 && Long.compareUnsigned(weight, weights[place - 1]) > 0) {
@@ -53,26 +55,28 @@
   }
 
   /**
-   * Settles on the homes after all engines were offered. A group of many prefixes is split over its
-   * homes, and only a prefix that is itself in much demand is held by several.
+   * Selects the homes after all candidates were added. The prefixes of a group are spread over its
+   * homes, and only a prefix that is itself popular is held by several.
    *
    * @param popularity shares of the group and of the request's prefix in it
-   * @param prefixKey hash of the prefix
+   * @param prefixKey hash of the request's deepest prefix that was seen before
    */
-  void settle(Popularity popularity, long prefixKey) {
-    int groupHomes = Math.min(homesFor(popularity.group()), rankedCount);
+  void select(Popularity popularity, long prefixKey) {
+    int groupHomes = Math.min(homeCountFor(popularity.group()), rankedCount);
     for (int place = 1; place < groupHomes; place++) {
       moveForward(place, prefixKey);
     }
-    homes = Math.min(homesFor(popularity.prefix()), Math.max(1, groupHomes));
+    homeCount = Math.min(homeCountFor(popularity.prefix()), Math.max(1, groupHomes));
   }
 
-  private int homesFor(double share) {
-    long wanted = Math.round(share * offered * HOMES_PER_FAIR_SHARE);
-    return (int) Math.min(MAX_HOMES, Math.max(1, wanted));
+  private int homeCountFor(double share) {
+    long count = Math.round(share * candidateCount * HOMES_PER_FAIR_SHARE);
+    return (int) Math.min(MAX_HOMES, Math.max(1, count));
   }
 
-  /** One step of an insertion sort by the weight that the prefix gives. */
+  /**
+   * Moves an engine to its place among those before it, by their rendezvous weights for the prefix.
+   */
   private void moveForward(int from, long prefixKey) {
     EngineView moved = ranked[from];
     long weight = Rendezvous.weight(prefixKey, moved.identity());
@@ -88,7 +92,7 @@
     ranked[target] = moved;
   }
 
-  /** Returns the share of the shared prefix that an engine is assumed to hold. */
+  /** Returns the fraction of the shared prefix that an engine is assumed to hold. */
   double confidenceIn(EngineView engine) {
     for (int rank = 0; rank < rankedCount; rank++) {
       if (ranked[rank] == engine) {
@@ -99,9 +103,9 @@
   }
 
   private double confidenceAt(int rank) {
-    if (rank < homes) {
+    if (rank < homeCount) {
       return HOME_CONFIDENCE;
     }
-    return rank == homes ? NEXT_HOME_CONFIDENCE : 0;
+    return rank == homeCount ? NEXT_HOME_CONFIDENCE : 0;
   }
 }
--- a/router/src/main/java/org/lockdale/router/placement/Placement.java
+++ b/router/src/main/java/org/lockdale/router/placement/Placement.java
@@ -5,11 +5,11 @@
 /**
  * The engine chosen for a request.
  *
- * @param engine engine
- * @param believedCachedTokens part of the prompt that it is believed to hold
- * @param expectedMillis expected time to the first token
- * @param hasRoom whether it is expected to start the request without queueing it behind a full
- *     batch
+ * @param engine chosen engine
+ * @param believedCachedTokens number of prompt tokens that it is estimated to have cached
+ * @param expectedMillis expected time to the first token, in milliseconds
+ * @param hasCapacity whether the engine can accept the request now; otherwise the request waits at
+ *     the node
  */
 public record Placement(
-    EngineView engine, int believedCachedTokens, double expectedMillis, boolean hasRoom) {}
+    EngineView engine, int believedCachedTokens, double expectedMillis, boolean hasCapacity) {}
--- a/router/src/main/java/org/lockdale/router/placement/PlacementRequest.java
+++ b/router/src/main/java/org/lockdale/router/placement/PlacementRequest.java
@@ -5,16 +5,16 @@
 import org.lockdale.router.policy.Selector;
 
 /**
- * What the choice of an engine needs to know of a request.
+ * Properties of a request that determine the choice of its engine.
  *
  * @param model model to run
  * @param weightsVersion weights version that engines must hold
- * @param engineSelector engines allowed by the route
- * @param excludedEngines ids of engines that refused or failed the request
- * @param chain prefix blocks
- * @param promptTokens estimated length of the prompt
+ * @param engineSelector selects the engines allowed by the route
+ * @param excludedEngines ids of engines at which an attempt of the request has failed
+ * @param chain hashes of the prefix blocks
+ * @param promptTokens estimated length of the prompt in tokens
  * @param priorityLevel 0 to 1000
- * @param popularity how much this node is asked for the request's group and prefix
+ * @param popularity shares of the request's group and prefix in this node's requests
  */
 public record PlacementRequest(
     String model,
--- a/router/src/main/java/org/lockdale/router/placement/PopularityCounter.java
+++ b/router/src/main/java/org/lockdale/router/placement/PopularityCounter.java
@@ -5,8 +5,9 @@
 import org.lockdale.coordination.placement.PrefixChain;
 
 /**
- * Shares of groups of prompts and of prefixes in this node's requests, as counts that fade.
- * Bounded: the ones least recently asked for are forgotten. Safe for use by several threads.
+ * Shares of groups of prompts and of prefixes in this node's requests, from counts that decay
+ * exponentially. Bounded: the least recently requested ones are dropped. Safe for use by several
+ * threads.
  */
 public final class PopularityCounter {
 
@@ -29,26 +30,29 @@
       };
   private final Count total = new Count();
 
-  /** Counts a request with its group and its deepest prefix that was seen before. */
+  /**
+   * Counts a request in its group and its deepest prefix that was seen before, and returns their
+   * shares.
+   */
   public synchronized Popularity count(PrefixChain chain, PrefixMatch match, long nowMillis) {
-    add(total, nowMillis);
+    decayAndIncrement(total, nowMillis);
     long groupKey = EngineChooser.groupKeyOf(chain);
-    double group = countOne(groupKey, nowMillis);
+    double group = increment(groupKey, nowMillis);
     boolean isDeeper = match.seenDepth() > 0 && match.seenHash() != groupKey;
-    double prefix = isDeeper ? countOne(match.seenHash(), nowMillis) : group;
+    double prefix = isDeeper ? increment(match.seenHash(), nowMillis) : group;
     return new Popularity(group / total.value, prefix / total.value);
   }
 
-  private double countOne(long key, long nowMillis) {
+  private double increment(long key, long nowMillis) {
     Count count = counts.computeIfAbsent(key, absent -> new Count());
-    add(count, nowMillis);
+    decayAndIncrement(count, nowMillis);
     return count.value;
   }
 
-  private static void add(Count count, long nowMillis) {
-    double faded =
+  private static void decayAndIncrement(Count count, long nowMillis) {
+    double decayed =
         count.value * Math.pow(0.5, (nowMillis - count.updatedAtMillis) / HALF_LIFE_MILLIS);
-    count.value = faded + 1;
+    count.value = decayed + 1;
     count.updatedAtMillis = nowMillis;
   }
 }
--- a/router/src/main/java/org/lockdale/router/placement/PrefixIndex.java
+++ b/router/src/main/java/org/lockdale/router/placement/PrefixIndex.java
@@ -6,10 +6,10 @@
 import org.lockdale.coordination.placement.PrefixChain;
 
 /**
- * Which engines this node believes to hold which prefixes, learnt from its own dispatches and from
- * the reuse that engines report in their answers. A belief only guides placement; it never licenses
- * anything. Bounded in size, kept only for some depths of a chain, and short-lived, since engines
- * evict within seconds. Safe for use by several threads: striped by hash.
+ * Index of the engines that are likely to hold prefixes, from the requests that they completed for
+ * this node. Entries are estimates: they guide placement, but nothing may rely on them. The index
+ * is bounded and holds only some depths of a chain; entries expire, since engines evict within
+ * seconds. Safe for use by several threads: striped by hash.
  */
 public final class PrefixIndex {
 
@@ -26,8 +26,9 @@
   /**
    * Creates an empty index.
    *
-   * @param capacity most prefixes remembered
-   * @param lifetimeMillis time after which a belief that was not confirmed is dropped
+   * @param capacity maximum number of prefixes
+   * @param lifetimeMillis time after which a holder that was not confirmed is ignored, in
+   *     milliseconds
    */
   public PrefixIndex(int capacity, long lifetimeMillis) {
     this.lifetimeMillis = lifetimeMillis;
@@ -36,7 +37,7 @@
     }
   }
 
-  /** Returns whether a depth, counted in blocks from 1, is kept. */
+  /** Returns whether the index holds prefixes of a depth, counted in blocks from 1. */
   static boolean isAnchor(int depth) {
     if (depth <= DENSE_DEPTH) {
       return true;
@@ -44,7 +45,7 @@
     return depth <= MIDDLE_DEPTH ? depth % MIDDLE_STEP == 0 : depth % SPARSE_STEP == 0;
   }
 
-  /** Notes that an engine holds all blocks of a chain, as it does after a prefill. */
+  /** Records that an engine holds all blocks of a chain, as it does after a prefill. */
   public void stored(PrefixChain chain, long engineIdentity, long nowMillis) {
     for (int depth = 1; depth <= chain.length(); depth++) {
       if (isAnchor(depth)) {
@@ -55,9 +56,9 @@
   }
 
   /**
-   * Returns what is believed of a chain.
+   * Looks up a chain.
    *
-   * @return for each depth that is kept, the engines that hold it
+   * @return the depth up to which the chain is in the index, and its holders that have not expired
    */
   public PrefixMatch match(PrefixChain chain, long nowMillis) {
     PrefixMatch match = new PrefixMatch();
@@ -73,7 +74,7 @@
     return match;
   }
 
-  /** Returns the number of prefixes remembered. */
+  /** Returns the number of prefixes in the index. */
   public int size() {
     int total = 0;
     for (Stripe stripe : stripes) {
@@ -135,11 +136,11 @@
       if (found == null) {
         return false;
       }
-      match.seen(depth, hash);
+      match.recordSeen(depth, hash);
       for (int index = 0; index < MAX_HOLDERS; index++) {
         if (found.confirmedAt[index] != Long.MIN_VALUE
             && found.confirmedAt[index] >= oldestMillis) {
-          match.held(depth, found.engines[index]);
+          match.recordHolder(depth, found.engines[index]);
         }
       }
       return true;
--- a/router/src/main/java/org/lockdale/router/placement/PrefixMatch.java
+++ b/router/src/main/java/org/lockdale/router/placement/PrefixMatch.java
@@ -2,7 +2,10 @@
 
 import java.util.Arrays;
 
-/** What is believed of one chain: how deep it was seen before, and which engines hold how much. */
+/**
+ * Match of a chain in a {@link PrefixIndex}: how deep it was seen before, and how much of it each
+ * engine is likely to hold.
+ */
 public final class PrefixMatch {
 
   private static final int INITIAL_ENGINES = 8;
@@ -15,12 +18,12 @@
 
   PrefixMatch() {}
 
-  void seen(int depth, long hash) {
+  void recordSeen(int depth, long hash) {
     seenDepth = depth;
     seenHash = hash;
   }
 
-  void held(int depth, long engine) {
+  void recordHolder(int depth, long engine) {
     for (int index = 0; index < count; index++) {
       if (engines[index] == engine) {
         depths[index] = depth;
@@ -36,7 +39,7 @@
     count++;
   }
 
-  /** Returns how many blocks an engine is believed to hold. */
+  /** Returns the number of blocks that an engine is likely to hold, or 0. */
   public int depthAt(long engineIdentity) {
     for (int index = 0; index < count; index++) {
       if (engines[index] == engineIdentity) {
@@ -46,12 +49,14 @@
     return 0;
   }
 
-  /** Returns the deepest prefix that this node saw before, in blocks; 0 for none. */
+  /**
+   * Returns the depth of the deepest prefix that was seen before, in blocks, or 0 if there is none.
+   */
   public int seenDepth() {
     return seenDepth;
   }
 
-  /** Returns the hash of the deepest prefix that this node saw before. */
+  /** Returns the hash of the deepest prefix that was seen before, or 0 if there is none. */
   public long seenHash() {
     return seenHash;
   }
--- a/router/src/main/java/org/lockdale/router/placement/package-info.java
+++ b/router/src/main/java/org/lockdale/router/placement/package-info.java
@@ -1,4 +1,4 @@
-/** Choice of an engine by prefix, load and distance. */
+/** Choice of an engine by cached prefix, load and network latency. */
 @NullMarked
 package org.lockdale.router.placement;
 
--- a/router/src/main/java/org/lockdale/router/request/AttemptResult.java
+++ b/router/src/main/java/org/lockdale/router/request/AttemptResult.java
@@ -1,32 +1,36 @@
 package org.lockdale.router.request;
 
-/** How one attempt ended. */
+/** Result of one attempt. */
 sealed interface AttemptResult {
 
-  /** The caller has the whole answer. */
+  /** The caller was sent the complete response. */
   record Complete() implements AttemptResult {}
 
   /**
    * The attempt did not run and never will.
    *
-   * @param reason what the engine said
+   * @param reason why it did not run
    */
   record NotStarted(String reason) implements AttemptResult {}
 
   /**
-   * The attempt may have run, and nothing of it reached the caller.
+   * The attempt may have run; no part of its response reached the caller.
    *
    * @param reason what went wrong
    */
   record Failed(String reason) implements AttemptResult {}
 
   /**
-   * The attempt ran and its answer broke off after a part of it reached the caller.
+   * The response was interrupted after a part of it had reached the caller.
    *
    * @param reason what went wrong
    */
-  record BrokenOff(String reason) implements AttemptResult {}
+  record Interrupted(String reason) implements AttemptResult {}
 
-  /** The deadline passed or the caller left. */
-  record GivenUp(String reason) implements AttemptResult {}
+  /**
+   * The attempt was cancelled and may have run.
+   *
+   * @param reason why: the deadline passed, or the caller disconnected or reads too slowly
+   */
+  record Cancelled(String reason) implements AttemptResult {}
 }
--- a/router/src/main/java/org/lockdale/router/request/AuthenticationStep.java
+++ b/router/src/main/java/org/lockdale/router/request/AuthenticationStep.java
@@ -4,7 +4,7 @@
 import org.lockdale.router.error.ErrorKind;
 import org.lockdale.router.error.RequestException;
 
-/** Finds the tenant of the API key, the only source of a request's tenant. */
+/** Determines the tenant from the API key, the only source of a request's tenant. */
 final class AuthenticationStep implements RequestStep {
 
   private static final String BEARER = "Bearer ";
--- a/router/src/main/java/org/lockdale/router/request/ClaimFinisher.java
+++ b/router/src/main/java/org/lockdale/router/request/ClaimFinisher.java
@@ -12,15 +12,15 @@
 import org.tinylog.Logger;
 
 /**
- * Writes the ends of claims after the caller has its answer, and goes on trying while the table
- * service is down. What is lost with the node only costs the repeat of a request its stored answer,
- * never a second run.
+ * Writes the final states of claims after the response was sent, and retries while the table
+ * service is unavailable. If the node stops before a state is written, a repeat of the request does
+ * not get the stored response, but it never runs a second time.
  */
 final class ClaimFinisher {
 
   private static final long FIRST_DELAY_MILLIS = 200;
   private static final long MAX_DELAY_MILLIS = 5_000;
-  private static final int MAX_TRIES = 200;
+  private static final int MAX_ATTEMPTS = 200;
   private static final int MAX_PENDING = 10_000;
 
   private final RunOnceClaims claims;
@@ -33,55 +33,57 @@
   }
 
   void complete(HeldClaim claim, int status, String contentType, byte[] body) {
-    start("complete", () -> claims.complete(claim, status, contentType, body));
+    submit("complete", () -> claims.complete(claim, status, contentType, body));
   }
 
   void release(HeldClaim claim) {
-    start("release", () -> claims.release(claim));
+    submit("release", () -> claims.release(claim));
   }
 
   void markUnknown(HeldClaim claim) {
-    start("mark-unknown", () -> claims.markUnknown(claim));
+    submit("mark-unknown", () -> claims.markUnknown(claim));
   }
 
   void abandon(String key, ClaimRecord attempt) {
-    start("abandon", () -> claims.abandon(key, attempt));
+    submit("abandon", () -> claims.abandon(key, attempt));
   }
 
-  /** Returns how many ends are still to be written. */
+  /** Returns the number of final states still to be written. */
   int pendingCount() {
     return pending.get();
   }
 
-  private void start(String action, Supplier<CompletableFuture<HeldClaim>> write) {
+  private void submit(String action, Supplier<CompletableFuture<HeldClaim>> write) {
     if (pending.incrementAndGet() > MAX_PENDING) {
       pending.decrementAndGet();
       Logger.warn("event=claim-end-dropped action={} reason=too-many-pending", action);
       return;
     }
-    attempt(action, write, 1);
+    tryWrite(action, write, 1);
   }
 
-  private void attempt(String action, Supplier<CompletableFuture<HeldClaim>> write, int tries) {
+  private void tryWrite(String action, Supplier<CompletableFuture<HeldClaim>> write, int attempts) {
     write
         .get()
         .whenComplete(
             (claim, failure) -> {
-              if (failure == null || isSettledByOther(failure) || tries >= MAX_TRIES) {
+              if (failure == null || isConditionFailure(failure) || attempts >= MAX_ATTEMPTS) {
                 pending.decrementAndGet();
                 return;
               }
-              long delay = Math.min(MAX_DELAY_MILLIS, FIRST_DELAY_MILLIS << Math.min(tries, 10));
+              long delay = Math.min(MAX_DELAY_MILLIS, FIRST_DELAY_MILLIS << Math.min(attempts, 10));
               group
                   .next()
-                  .schedule(() -> attempt(action, write, tries + 1), delay, TimeUnit.MILLISECONDS);
+                  .schedule(
+                      () -> tryWrite(action, write, attempts + 1), delay, TimeUnit.MILLISECONDS);
             });
   }
 
   /**
-   * A row of another version was written by this same end, its reply lost, or by a later holder.
+   * Returns whether the row has another version than expected: either this same write succeeded and
+   * its response was lost, or a later holder of the claim has written the row.
    */
-  private static boolean isSettledByOther(Throwable failure) {
+  private static boolean isConditionFailure(Throwable failure) {
     Throwable cause = failure.getCause() == null ? failure : failure.getCause();
     return cause instanceof TableServiceException known
         && known.kind() == TableServiceException.Kind.CONDITION_FAILED;
--- a/router/src/main/java/org/lockdale/router/request/ClaimStep.java
+++ b/router/src/main/java/org/lockdale/router/request/ClaimStep.java
@@ -23,13 +23,13 @@
 import org.lockdale.router.policy.PolicySet;
 
 /**
- * Takes the claim of a request that must run at most once, before it is dispatched. Where another
- * attempt holds it, its engine is asked what became of it: only an attempt that an engine confirms
- * never started gives the claim up.
+ * Acquires the claim of a request that must run at most once, before the request is dispatched. If
+ * another attempt holds the claim, queries the state of that attempt at its engine: the claim is
+ * taken over only if the engine confirms that the attempt has not started and never will.
  */
 final class ClaimStep implements RequestStep {
 
-  /** A younger claim is left to its holder, which may be about to dispatch. */
+  /** A claim updated more recently is left to its holder, which may be about to dispatch. */
   private static final long HOLDER_GRACE_MILLIS = 3_000;
 
   private final RunOnceClaims claims;
@@ -59,21 +59,21 @@
     if (!context.isRunOnce()) {
       return CONTINUE;
     }
-    ClaimRecord attempt = recordOf(context);
+    ClaimRecord attempt = newClaimRecord(context);
     CompletableFuture<Next> result =
         context.claim == null
-            ? takeClaim(context, keyOf(context), attempt)
+            ? takeClaim(context, claimKey(context), attempt)
             : moveClaim(context, context.claim, attempt);
-    // The table service answers on threads of its own; the path goes on where it came from.
+    // The table service completes on its own threads; return to the connection's event loop.
     return result.whenCompleteAsync((next, failure) -> {}, context.exchange.eventLoop());
   }
 
-  private static String keyOf(RequestContext context) {
-    // The tenant is part of the key, so no tenant can meet another's claims.
+  private static String claimKey(RequestContext context) {
+    // The key includes the tenant, so that claims of different tenants never collide.
     return PolicySet.hashOfKey(context.tenant.name() + "\u0000" + context.idempotencyKey);
   }
 
-  private ClaimRecord recordOf(RequestContext context) {
+  private ClaimRecord newClaimRecord(RequestContext context) {
     EngineView engine = context.placement.engine();
     return new ClaimRecord(
         context.attemptId,
@@ -97,11 +97,11 @@
               finisher.abandon(key, attempt);
               throw storeUnavailable();
             })
-        .thenCompose(decision -> decide(context, key, attempt, decision));
+        .thenCompose(decision -> handleDecision(context, key, attempt, decision));
   }
 
   /**
-   * An earlier attempt of this request was refused by its engine; the row must name the new one.
+   * Moves the claim to a new attempt, after an engine rejected an earlier attempt of this request.
    */
   private CompletableFuture<Next> moveClaim(
       RequestContext context, HeldClaim held, ClaimRecord attempt) {
@@ -110,12 +110,12 @@
         .handle(
             (claim, failure) -> {
               if (failure != null) {
-                // Whichever attempt the row names now, neither can run any more.
+                // The row may name either attempt; neither can run any more, so both are given up.
                 finisher.release(held);
                 finisher.abandon(held.key(), attempt);
                 throw storeUnavailable();
               }
-              granted(context, claim);
+              recordClaim(context, claim);
               return Next.CONTINUE;
             });
   }
@@ -126,15 +126,15 @@
         "The claim of the idempotency key could not be taken, so the request was not started.");
   }
 
-  private static void granted(RequestContext context, HeldClaim claim) {
+  private static void recordClaim(RequestContext context, HeldClaim claim) {
     context.claim = claim;
     context.enter(RequestStage.CLAIMED);
   }
 
-  private CompletableFuture<Next> decide(
+  private CompletableFuture<Next> handleDecision(
       RequestContext context, String key, ClaimRecord attempt, ClaimDecision decision) {
     if (decision instanceof ClaimDecision.Granted granted) {
-      granted(context, granted.claim());
+      recordClaim(context, granted.claim());
       return CONTINUE;
     }
     if (decision instanceof ClaimDecision.AlreadyComplete complete) {
@@ -142,7 +142,7 @@
       return ANSWERED;
     }
     if (decision instanceof ClaimDecision.HeldByOther held) {
-      return resolveHolder(context, key, attempt, held);
+      return takeOverClaim(context, key, attempt, held);
     }
     if (decision instanceof ClaimDecision.OutcomeLost) {
       throw outcomeUnknown();
@@ -175,7 +175,7 @@
         ErrorKind.REQUEST_IN_PROGRESS, "Another attempt with this idempotency key is running.");
   }
 
-  private CompletableFuture<Next> resolveHolder(
+  private CompletableFuture<Next> takeOverClaim(
       RequestContext context, String key, ClaimRecord attempt, ClaimDecision.HeldByOther held) {
     ClaimRecord holder = held.record();
     if (time.wallMillis() - holder.getUpdatedAtMillis() < HOLDER_GRACE_MILLIS) {
@@ -191,7 +191,7 @@
       throw outcomeUnknown();
     }
     return engines
-        .ask(engine.get(), holder.getAttemptId())
+        .queryFate(engine.get(), holder.getAttemptId())
         .thenCompose(
             fate ->
                 fate == AttemptFate.NEVER_STARTED
--- a/router/src/main/java/org/lockdale/router/request/DispatchStep.java
+++ b/router/src/main/java/org/lockdale/router/request/DispatchStep.java
@@ -8,7 +8,7 @@
 import org.lockdale.router.engine.EngineClient;
 import org.lockdale.router.placement.PrefixIndex;
 
-/** Sends a placed request to its engine and relays the answer. */
+/** Sends a placed request to its engine and relays the response. */
 final class DispatchStep {
 
   private final EngineClient engines;
@@ -23,9 +23,9 @@
     this.tokenTimeoutMillis = tokenTimeoutMillis;
   }
 
-  CompletableFuture<AttemptResult> dispatch(RequestContext context, AnswerSink sink) {
+  CompletableFuture<AttemptResult> dispatch(RequestContext context, ResponseSink sink) {
     EngineActivity activity = context.placement.engine().activity();
-    if (context.callerLeft && !context.isRunOnce()) {
+    if (context.callerDisconnected && !context.isRunOnce()) {
       activity.ended();
       return CompletableFuture.completedFuture(
           new AttemptResult.NotStarted("the caller left before the request was sent"));
@@ -38,31 +38,32 @@
             .exchange
             .eventLoop()
             .schedule(
-                () -> attempt.giveUp("the deadline passed"),
+                () -> attempt.cancel("the deadline passed"),
                 Math.max(0, context.millisToDeadline()),
                 TimeUnit.MILLISECONDS);
     if (!context.isRunOnce()) {
-      // A request that must run at most once goes on without its caller, who will ask again.
+      // A request with an idempotency key continues: its caller can repeat it for the result.
       context
           .exchange
           .disconnected()
-          .thenRunAsync(() -> attempt.giveUp("the caller left"), context.exchange.eventLoop());
+          .thenRunAsync(() -> attempt.cancel("the caller left"), context.exchange.eventLoop());
     }
     return result.whenComplete(
         (attemptResult, failure) -> {
           deadline.cancel(false);
           activity.ended();
-          learn(context, activity, attemptResult);
+          recordResult(context, activity, attemptResult);
         });
   }
 
-  private void learn(RequestContext context, EngineActivity activity, AttemptResult attemptResult) {
+  private void recordResult(
+      RequestContext context, EngineActivity activity, AttemptResult attemptResult) {
     long now = time.monotonicMillis();
     if (attemptResult instanceof AttemptResult.Complete) {
-      activity.succeeded();
+      activity.recordSuccess();
       prefixes.stored(context.chain, context.placement.engine().identity(), now);
-    } else if (!(attemptResult instanceof AttemptResult.GivenUp)) {
-      activity.failed(now);
+    } else if (!(attemptResult instanceof AttemptResult.Cancelled)) {
+      activity.recordFailure(now);
     }
   }
 
--- a/router/src/main/java/org/lockdale/router/request/EngineAttempt.java
+++ b/router/src/main/java/org/lockdale/router/request/EngineAttempt.java
@@ -18,8 +18,8 @@
 import org.lockdale.router.engine.EngineView;
 
 /**
- * One attempt at one engine: checks that the answer belongs to the attempt, relays a stream event
- * by event in the order of their ids, and takes it up again where the connection breaks. Lives on
+ * One attempt at one engine: checks that the response belongs to the attempt, relays a stream event
+ * by event in the order of event ids, and resumes the stream if the connection breaks. Confined to
  * the event loop of the caller's connection.
  */
 final class EngineAttempt implements HttpResponseListener {
@@ -28,22 +28,22 @@
   private static final int SERVER_ERROR = 500;
   private static final int SERVICE_UNAVAILABLE = 503;
 
-  /** Times in a row that a stream is taken up again without a new event. */
+  /** Maximum number of consecutive resumptions of a stream without a new event. */
   private static final int MAX_RESUMES = 2;
 
-  private static final int MAX_ANSWER_BYTES = 16 * 1024 * 1024;
+  private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
 
   private final RequestContext context;
   private final EngineClient engines;
   private final EngineView engine;
   private final AttemptMessage message;
-  private final AnswerSink sink;
+  private final ResponseSink sink;
   private final CompletableFuture<AttemptResult> result = new CompletableFuture<>();
   private final long tokenTimeoutMillis;
   private HttpCall call;
   private ServerSentEventDecoder decoder;
   private int status;
-  private boolean belongs;
+  private boolean matchesAttempt;
   private long nextEventId;
   private boolean doneSeen;
   private int resumesWithoutProgress;
@@ -54,7 +54,7 @@
       RequestContext context,
       EngineClient engines,
       AttemptMessage message,
-      AnswerSink sink,
+      ResponseSink sink,
       long tokenTimeoutMillis) {
     this.context = context;
     this.engines = engines;
@@ -72,8 +72,8 @@
     return result;
   }
 
-  /** Gives the attempt up, after its fate at the engine is known as far as possible. */
-  void giveUp(String reason) {
+  /** Cancels the attempt; its result completes after the engine was asked whether it ran. */
+  void cancel(String reason) {
     if (result.isDone()) {
       return;
     }
@@ -87,7 +87,7 @@
   private static AttemptResult resultOfCancel(AttemptFate fate, String reason) {
     return fate == AttemptFate.NEVER_STARTED
         ? new AttemptResult.NotStarted(reason)
-        : new AttemptResult.GivenUp(reason);
+        : new AttemptResult.Cancelled(reason);
   }
 
   private void finish(AttemptResult attemptResult) {
@@ -95,7 +95,9 @@
     result.complete(attemptResult);
   }
 
-  /** Guards against an engine that has stopped without closing its connections. */
+  /**
+   * Detects an engine that stops sending in the middle of a stream without closing its connection.
+   */
   private void watchProgress() {
     context
         .exchange
@@ -105,11 +107,11 @@
               if (result.isDone()) {
                 return;
               }
-              long silentMillis =
+              long idleMillis =
                   TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - lastProgressNanos);
-              if (sink.hasStarted() && silentMillis >= tokenTimeoutMillis) {
+              if (sink.hasStarted() && idleMillis >= tokenTimeoutMillis) {
                 call.cancel();
-                broken("the engine was silent for " + silentMillis + " ms");
+                resumeOrFail("the engine was silent for " + idleMillis + " ms");
               } else {
                 watchProgress();
               }
@@ -119,14 +121,14 @@
   }
 
   @Override
-  public void onHead(int replyStatus, HttpHeaders headers) {
-    status = replyStatus;
-    belongs =
+  public void onHead(int responseStatus, HttpHeaders headers) {
+    status = responseStatus;
+    matchesAttempt =
         message.attemptId().equals(headers.get(HeaderNames.ATTEMPT_ID))
             && engine.incarnation().equals(headers.get(HeaderNames.ENGINE_INCARNATION));
-    if (status == OK && !belongs) {
+    if (status == OK && !matchesAttempt) {
       call.cancel();
-      broken("the engine's answer belongs to another attempt or incarnation");
+      resumeOrFail("the engine's answer belongs to another attempt or incarnation");
       return;
     }
     boolean isStream = headers.get("content-type", "").startsWith("text/event-stream");
@@ -142,7 +144,7 @@
     if (body == null) {
       decoder.decode(content);
       sink.flush();
-    } else if (body.size() + content.readableBytes() > MAX_ANSWER_BYTES) {
+    } else if (body.size() + content.readableBytes() > MAX_RESPONSE_BYTES) {
       call.cancel();
       finish(new AttemptResult.Failed("the engine's answer is over the size limit"));
     } else {
@@ -161,18 +163,18 @@
       return;
     }
     if (id < nextEventId) {
-      // A resumed stream may overlap with what was relayed before.
+      // A resumed stream may repeat events that were already relayed.
       return;
     }
     if (id > nextEventId) {
       call.cancel();
-      broken("an event of the engine's stream is missing");
+      resumeOrFail("an event of the engine's stream is missing");
       return;
     }
     nextEventId++;
     resumesWithoutProgress = 0;
-    if (!sink.event(event)) {
-      giveUp("the caller reads too slowly");
+    if (!sink.relayEvent(event)) {
+      cancel("the caller reads too slowly");
     }
   }
 
@@ -182,27 +184,28 @@
       return;
     }
     if (status >= SERVER_ERROR && status != SERVICE_UNAVAILABLE) {
-      // Not a refusal: the engine may have failed after it had begun to run.
-      settle("the engine answered " + status);
+      // Not a rejection: the engine may have failed after the attempt started.
+      failAttempt("the engine answered " + status);
     } else if (status != OK) {
-      refused();
+      finishRejected();
     } else if (body != null) {
-      sink.whole(body.toByteArray());
+      sink.sendComplete(body.toByteArray());
       finish(new AttemptResult.Complete());
     } else if (doneSeen) {
-      sink.endOfStream();
+      sink.endStream();
       finish(new AttemptResult.Complete());
     } else {
-      broken("the engine ended its stream early");
+      resumeOrFail("the engine ended its stream early");
     }
   }
 
-  private void refused() {
+  private void finishRejected() {
     String reason = body == null ? "" : body.toString(StandardCharsets.UTF_8);
-    finish(new AttemptResult.NotStarted("engine answered " + status + " " + codeIn(reason)));
+    finish(
+        new AttemptResult.NotStarted("engine answered " + status + " " + extractErrorCode(reason)));
   }
 
-  private static String codeIn(String reason) {
+  private static String extractErrorCode(String reason) {
     int start = reason.indexOf("\"code\":\"");
     if (start < 0) {
       return "";
@@ -221,17 +224,17 @@
       finish(new AttemptResult.NotStarted("the engine can't be reached"));
       return;
     }
-    broken(failure.getMessage());
+    resumeOrFail(failure.getMessage());
   }
 
-  /** A stream that broke is taken up again at the same engine; anything else has failed. */
-  private void broken(String reason) {
+  /** Resumes a broken stream at the same engine, or fails the attempt if it can't be resumed. */
+  private void resumeOrFail(String reason) {
     if (result.isDone()) {
       return;
     }
     boolean resumable = context.request.stream() && resumesWithoutProgress < MAX_RESUMES;
     if (!resumable) {
-      settle(reason);
+      failAttempt(reason);
       return;
     }
     resumesWithoutProgress++;
@@ -245,14 +248,14 @@
             context.exchange.eventLoop(), engine, message, nextEventId - 1, new ResumeListener());
   }
 
-  /** Ends a broken attempt; the engine is told to cancel it, which also tells whether it ran. */
-  private void settle(String reason) {
+  /** Cancels a failed attempt at the engine, whose response shows whether it ran, and ends it. */
+  private void failAttempt(String reason) {
     engines
         .cancel(engine, message.attemptId())
         .whenCompleteAsync(
             (fate, failure) -> {
               if (sink.hasStarted()) {
-                finish(new AttemptResult.BrokenOff(reason));
+                finish(new AttemptResult.Interrupted(reason));
               } else if (fate == AttemptFate.NEVER_STARTED) {
                 finish(new AttemptResult.NotStarted(reason));
               } else {
@@ -262,11 +265,14 @@
             context.exchange.eventLoop());
   }
 
-  /** As the attempt itself, but a refused resumption tells nothing about whether it ran. */
+  /**
+   * Handles a resumed stream like the first response, except that a rejected resumption does not
+   * show whether the attempt ran.
+   */
   private final class ResumeListener implements HttpResponseListener {
     @Override
-    public void onHead(int replyStatus, HttpHeaders headers) {
-      EngineAttempt.this.onHead(replyStatus, headers);
+    public void onHead(int responseStatus, HttpHeaders headers) {
+      EngineAttempt.this.onHead(responseStatus, headers);
     }
 
     @Override
@@ -279,14 +285,14 @@
       if (status == OK) {
         EngineAttempt.this.onEnd();
       } else if (!result.isDone()) {
-        settle("the engine can't resume the stream");
+        failAttempt("the engine can't resume the stream");
       }
     }
 
     @Override
     public void onFailure(HttpCallException failure) {
       if (!result.isDone()) {
-        broken("the stream could not be resumed: " + failure.getMessage());
+        resumeOrFail("the stream could not be resumed: " + failure.getMessage());
       }
     }
   }
--- a/router/src/main/java/org/lockdale/router/request/LabellingStep.java
+++ b/router/src/main/java/org/lockdale/router/request/LabellingStep.java
@@ -10,9 +10,9 @@
 import org.lockdale.router.policy.Tenant;
 
 /**
- * Derives the labels of the request: those of its tenant, of its model and of this node's zone, and
- * what the caller adds in {@code metadata}. A caller can't set a label that the system or its
- * tenant already has, unless to the same value.
+ * Derives the labels of the request: those of its tenant, its model and this node's zone, and those
+ * that the caller sets in {@code metadata}. A caller can't set a reserved label or one that its
+ * tenant has, unless to the same value.
  */
 final class LabellingStep implements RequestStep {
 
@@ -26,14 +26,15 @@
   public CompletableFuture<Next> apply(RequestContext context) {
     Map<String, String> labels = systemLabels(context.tenant, context.model, zone);
     Map<String, String> all = new HashMap<>(context.request.metadata());
-    for (Map.Entry<String, String> claimed : context.request.metadata().entrySet()) {
+    for (Map.Entry<String, String> requested : context.request.metadata().entrySet()) {
       boolean reserved =
-          LabelNames.RESERVED.contains(claimed.getKey()) || labels.containsKey(claimed.getKey());
-      if (reserved && !claimed.getValue().equals(labels.get(claimed.getKey()))) {
+          LabelNames.RESERVED.contains(requested.getKey())
+              || labels.containsKey(requested.getKey());
+      if (reserved && !requested.getValue().equals(labels.get(requested.getKey()))) {
         throw RequestException.builder(
                 ErrorKind.LABEL_NOT_ALLOWED,
-                "The label '" + claimed.getKey() + "' is not the caller's to choose.")
-            .parameter("metadata." + claimed.getKey())
+                "The label '" + requested.getKey() + "' is not the caller's to choose.")
+            .parameter("metadata." + requested.getKey())
             .build();
       }
     }
--- a/router/src/main/java/org/lockdale/router/request/ParsingStep.java
+++ b/router/src/main/java/org/lockdale/router/request/ParsingStep.java
@@ -11,7 +11,7 @@
 import org.lockdale.router.error.RequestException;
 import org.lockdale.router.policy.ServedModel;
 
-/** Parses the body and the headers that decide how the request runs. */
+/** Parses the body, the idempotency key and the deadline of the request. */
 final class ParsingStep implements RequestStep {
 
   private static final int BYTES_PER_TOKEN = 4;
--- a/router/src/main/java/org/lockdale/router/request/PlacementStep.java
+++ b/router/src/main/java/org/lockdale/router/request/PlacementStep.java
@@ -20,9 +20,9 @@
 import org.lockdale.router.placement.PrefixMatch;
 
 /**
- * Chooses an engine. Where none has room the request waits at this node, in the order of priority
- * and of the tenants' shares; where it can't be expected to start before its deadline it is refused
- * at once.
+ * Chooses an engine. If none has capacity, the request waits in the queue of this node, ordered by
+ * priority and by the weights of the tenants. A request that is not expected to start before its
+ * deadline is rejected at once.
  */
 final class PlacementStep implements RequestStep {
 
@@ -61,25 +61,25 @@
     if (placement.expectedMillis() > context.millisToDeadline()) {
       throw overloaded(placement.expectedMillis());
     }
-    boolean mayStart = placement.hasRoom() && queue.lengthAtOrAbove(level(context)) == 0;
-    if (mayStart) {
-      take(context, placement);
+    boolean canStart = placement.hasCapacity() && queue.lengthAtOrAbove(level(context)) == 0;
+    if (canStart) {
+      assign(context, placement);
       return CONTINUE;
     }
-    return waitForRoom(context);
+    return waitForCapacity(context);
   }
 
   private static int level(RequestContext context) {
     return context.route.priority().level();
   }
 
-  private void take(RequestContext context, Placement placement) {
+  private void assign(RequestContext context, Placement placement) {
     context.placement = placement;
     placement.engine().activity().sent(context.promptTokens - placement.believedCachedTokens());
     context.enter(RequestStage.PLACED);
   }
 
-  private CompletableFuture<Next> waitForRoom(RequestContext context) {
+  private CompletableFuture<Next> waitForCapacity(RequestContext context) {
     double expectedWait = drainRate.expectedMillis(queue.lengthAtOrAbove(level(context)) + 1);
     if (expectedWait > context.millisToDeadline()) {
       throw overloaded(expectedWait);
@@ -98,23 +98,23 @@
     waiter
         .started()
         .thenRunAsync(() -> placed.complete(Next.CONTINUE), context.exchange.eventLoop());
-    giveUpAtDeadline(context, waiter, placed);
-    giveUpWhenCallerLeaves(context, waiter, placed);
+    failAtDeadline(context, waiter, placed);
+    removeOnDisconnect(context, waiter, placed);
     queue.drain();
     return placed;
   }
 
   private boolean tryStart(RequestContext context) {
     Optional<Placement> placement = choose(context);
-    if (placement.isEmpty() || !placement.get().hasRoom()) {
+    if (placement.isEmpty() || !placement.get().hasCapacity()) {
       return false;
     }
-    take(context, placement.get());
+    assign(context, placement.get());
     drainRate.started(time.monotonicMillis());
     return true;
   }
 
-  private void giveUpAtDeadline(
+  private void failAtDeadline(
       RequestContext context, CapacityQueue.Waiter waiter, CompletableFuture<Next> placed) {
     var timer =
         context
@@ -134,7 +134,7 @@
     placed.whenComplete((next, failure) -> timer.cancel(false));
   }
 
-  private void giveUpWhenCallerLeaves(
+  private void removeOnDisconnect(
       RequestContext context, CapacityQueue.Waiter waiter, CompletableFuture<Next> placed) {
     context
         .exchange
@@ -158,7 +158,7 @@
   private Optional<Placement> choose(RequestContext context) {
     EngineTable engines = blackboard.engines().value();
     long now = time.monotonicMillis();
-    String weights = weightsToUse(context, engines, now);
+    String weights = selectWeightsVersion(context, engines, now);
     PrefixChain chain = chainFor(context, weights);
     context.chain = chain;
     PrefixMatch match = prefixes.match(chain, now);
@@ -166,10 +166,10 @@
       context.popularity = popularity.count(chain, match, now);
     }
     return EngineChooser.choose(
-        requestFor(context, weights, chain), match, engines, context.policies, zone, now);
+        placementRequest(context, weights, chain), match, engines, context.policies, zone, now);
   }
 
-  private static PlacementRequest requestFor(
+  private static PlacementRequest placementRequest(
       RequestContext context, String weights, PrefixChain chain) {
     return new PlacementRequest(
         context.model.model(),
@@ -183,11 +183,12 @@
   }
 
   /**
-   * Returns the weights version wanted by the configuration where an engine that may serve the
-   * request holds it, else one that such an engine does hold: while a new version is rolled out,
-   * requests go on with the old one.
+   * Returns the configured weights version if an engine that may serve the request holds it or none
+   * holds any, otherwise a version that such an engine holds: while a new version is rolled out,
+   * requests continue with the old one.
    */
-  private static String weightsToUse(RequestContext context, EngineTable engines, long now) {
+  private static String selectWeightsVersion(
+      RequestContext context, EngineTable engines, long now) {
     String wanted = context.model.weightsVersion();
     String fallback = null;
     for (EngineView engine : engines.engines()) {
@@ -205,7 +206,7 @@
     return fallback == null ? wanted : fallback;
   }
 
-  /** The chain depends on the weights, so it is made anew where another version is used. */
+  /** Returns the prefix chain of a request, computed again if the weights version has changed. */
   private static PrefixChain chainFor(RequestContext context, String weights) {
     if (context.chain != null && weights.equals(context.weightsVersion)) {
       return context.chain;
--- a/router/src/main/java/org/lockdale/router/request/RequestContext.java
+++ b/router/src/main/java/org/lockdale/router/request/RequestContext.java
@@ -19,13 +19,12 @@
 import org.lockdale.router.policy.Tenant;
 
 /**
- * Everything that belongs to one request. Each field is written by one step and read by later ones,
- * all on the event loop of the caller's connection. A request sees one version of the policies from
- * beginning to end.
+ * State of one request. Each field is written by one step and read by later ones, all on the event
+ * loop of the caller's connection. A request uses one version of the policies throughout.
  */
 final class RequestContext {
 
-  /** A state with its time. */
+  /** A stage with the {@link System#nanoTime} at which the request entered it. */
   record StageTime(RequestStage stage, long nanos) {}
 
   final HttpExchange exchange;
@@ -53,11 +52,11 @@
   int cachedTokens;
   int relayedTokens;
 
-  /** Whether an earlier attempt may have run, whatever becomes of later ones. */
+  /** Whether an earlier attempt may have run, whatever the outcome of later ones. */
   boolean mayHaveRun;
 
-  boolean callerLeft;
-  boolean tenantPlaceTaken;
+  boolean callerDisconnected;
+  boolean tenantSlotAcquired;
   final Set<String> excludedEngines = new HashSet<>();
 
   RequestContext(
@@ -73,7 +72,10 @@
     stages.add(new StageTime(stage, System.nanoTime()));
   }
 
-  /** Returns the time from the request's arrival to the first time of a stage, or -1. */
+  /**
+   * Returns the milliseconds from the request's arrival until it first entered a stage, or -1 if it
+   * has not.
+   */
   long millisTo(RequestStage wanted) {
     for (StageTime entry : stages) {
       if (entry.stage() == wanted) {
--- a/router/src/main/java/org/lockdale/router/request/RequestPath.java
+++ b/router/src/main/java/org/lockdale/router/request/RequestPath.java
@@ -16,9 +16,11 @@
 import org.tinylog.Logger;
 
 /**
- * The path of a request from its arrival to its end. First come the steps that can only let it go
- * on or refuse it: authentication, parsing, labelling, routing, the tenant's limits. Then attempts:
- * placement, claim, dispatch, and again at another engine where the first one did not run it.
+ * Processes a request from its arrival to its end. The entry steps let it continue or reject it:
+ * authentication, parsing, labelling, routing, the tenant's limits. Then come the attempts, each of
+ * placement, claim and dispatch. An attempt that did not run is repeated at another engine within
+ * the limits on retries; so is a failed one that may have run, if the request has no idempotency
+ * key.
  */
 public final class RequestPath {
 
@@ -76,17 +78,19 @@
         new RequestContext(
             exchange, UUID.randomUUID().toString(), blackboard.policies().value(), kind);
     recorder.started();
-    exchange.disconnected().thenRunAsync(() -> context.callerLeft = true, exchange.eventLoop());
-    enter(context)
+    exchange
+        .disconnected()
+        .thenRunAsync(() -> context.callerDisconnected = true, exchange.eventLoop());
+    runEntrySteps(context)
         .thenCompose(
             next ->
                 next == Next.ANSWERED
                     ? CompletableFuture.completedFuture(Outcome.COMPLETE)
-                    : attempt(context, new AnswerSink(context)))
-        .whenComplete((outcome, failure) -> end(context, outcome, failure));
+                    : attempt(context, new ResponseSink(context)))
+        .whenComplete((outcome, failure) -> finish(context, outcome, failure));
   }
 
-  private CompletableFuture<Next> enter(RequestContext context) {
+  private CompletableFuture<Next> runEntrySteps(RequestContext context) {
     CompletableFuture<Next> path = RequestStep.CONTINUE;
     for (RequestStep step : entrySteps) {
       path = path.thenCompose(next -> step.apply(context));
@@ -94,29 +98,32 @@
     return path;
   }
 
-  private CompletableFuture<Outcome> attempt(RequestContext context, AnswerSink sink) {
+  private CompletableFuture<Outcome> attempt(RequestContext context, ResponseSink sink) {
     context.attempts++;
     context.attemptId = context.requestId + "-" + context.attempts;
     return placement
         .apply(context)
         .thenCompose(
-            next -> next == Next.ANSWERED ? RequestStep.ANSWERED : claimOrGiveBack(context))
+            next -> next == Next.ANSWERED ? RequestStep.ANSWERED : claimOrReleaseEngine(context))
         .thenCompose(
             next ->
                 next == Next.ANSWERED
                     ? CompletableFuture.completedFuture(Outcome.COMPLETE)
                     : dispatch
                         .dispatch(context, sink)
-                        .thenCompose(result -> conclude(context, sink, result)));
+                        .thenCompose(result -> handleResult(context, sink, result)));
   }
 
-  /** Where the claim is not granted, the place that was taken at the engine is given back. */
-  private CompletableFuture<Next> claimOrGiveBack(RequestContext context) {
+  /**
+   * Acquires the claim. If it is not granted, the request no longer counts as in flight at the
+   * engine.
+   */
+  private CompletableFuture<Next> claimOrReleaseEngine(RequestContext context) {
     CompletableFuture<Next> claimed;
     try {
       claimed = claim.apply(context);
-    } catch (RequestException refused) {
-      claimed = CompletableFuture.failedFuture(refused);
+    } catch (RequestException rejected) {
+      claimed = CompletableFuture.failedFuture(rejected);
     }
     return claimed.whenComplete(
         (next, failure) -> {
@@ -126,19 +133,19 @@
         });
   }
 
-  private CompletableFuture<Outcome> conclude(
-      RequestContext context, AnswerSink sink, AttemptResult result) {
+  private CompletableFuture<Outcome> handleResult(
+      RequestContext context, ResponseSink sink, AttemptResult result) {
     if (result instanceof AttemptResult.Complete) {
       finishClaim(context, sink);
       if (context.attempts == 1) {
-        usage.of(context.tenant.name()).retryBudget().succeeded();
+        usage.of(context.tenant.name()).retryBudget().recordSuccess();
       }
       return CompletableFuture.completedFuture(Outcome.COMPLETE);
     }
     if (result instanceof AttemptResult.NotStarted notStarted) {
       context.enter(RequestStage.REFUSED_BY_ENGINE);
       context.excludedEngines.add(context.engineId());
-      if (mayTryAgain(context)) {
+      if (mayRetry(context)) {
         return attempt(context, sink);
       }
       releaseClaim(context);
@@ -146,9 +153,9 @@
     }
     if (result instanceof AttemptResult.Failed failed) {
       context.mayHaveRun = true;
-      boolean repeatable = !context.isRunOnce();
+      boolean retrySafe = !context.isRunOnce();
       context.excludedEngines.add(context.engineId());
-      if (repeatable && mayTryAgain(context)) {
+      if (retrySafe && mayRetry(context)) {
         return attempt(context, sink);
       }
       markClaimUnknown(context);
@@ -156,12 +163,12 @@
           ErrorKind.ENGINE_FAILED, "The engine failed: " + failed.reason() + ".");
     }
     markClaimUnknown(context);
-    throw brokenOff(context, sink, result);
+    throw interrupted(context, sink, result);
   }
 
-  private boolean mayTryAgain(RequestContext context) {
+  private boolean mayRetry(RequestContext context) {
     return context.attempts <= maxRetries
-        && !context.callerLeft
+        && !context.callerDisconnected
         && context.millisToDeadline() > 0
         && usage.of(context.tenant.name()).retryBudget().tryRetry();
   }
@@ -174,15 +181,15 @@
         .build();
   }
 
-  private static RequestException brokenOff(
-      RequestContext context, AnswerSink sink, AttemptResult result) {
+  private static RequestException interrupted(
+      RequestContext context, ResponseSink sink, AttemptResult result) {
     RequestException error;
-    if (result instanceof AttemptResult.BrokenOff broken) {
+    if (result instanceof AttemptResult.Interrupted broken) {
       error =
           RequestException.of(
               ErrorKind.ENGINE_FAILED, "The answer broke off: " + broken.reason() + ".");
     } else {
-      String reason = ((AttemptResult.GivenUp) result).reason();
+      String reason = ((AttemptResult.Cancelled) result).reason();
       error =
           RequestException.builder(
                   ErrorKind.DEADLINE_EXPIRED, "The request was given up: " + reason + ".")
@@ -190,20 +197,20 @@
               .build();
     }
     if (sink.hasStarted()) {
-      sink.breakOff(error);
+      sink.abort(error);
     }
     return error;
   }
 
-  private void finishClaim(RequestContext context, AnswerSink sink) {
+  private void finishClaim(RequestContext context, ResponseSink sink) {
     if (context.claim == null) {
       return;
     }
-    byte[] answer = sink.keptAnswer();
-    if (answer == null) {
+    byte[] response = sink.responseCopy();
+    if (response == null) {
       claimFinisher.complete(context.claim, 0, "", new byte[0]);
     } else {
-      claimFinisher.complete(context.claim, 200, sink.contentType(), answer);
+      claimFinisher.complete(context.claim, 200, sink.contentType(), response);
     }
   }
 
@@ -219,7 +226,7 @@
     }
   }
 
-  private void end(RequestContext context, Outcome outcome, Throwable failure) {
+  private void finish(RequestContext context, Outcome outcome, Throwable failure) {
     limits.release(context);
     context.enter(RequestStage.ENDED);
     if (failure == null) {
@@ -227,7 +234,7 @@
     } else {
       RequestException error = errorOf(failure);
       if (context.mayHaveRun && error.outcome() == Outcome.NOT_RUN) {
-        // The last attempt did not run, but the request may have.
+        // The last attempt did not run, but an earlier one may have.
         error = error.withOutcome(Outcome.UNKNOWN);
       }
       context.exchange.reply(error.toReply(context.requestId));
@@ -245,7 +252,7 @@
     return RequestException.of(ErrorKind.INTERNAL, "The node failed.");
   }
 
-  /** Returns how many ends of claims are still to be written. */
+  /** Returns the number of final states of claims still to be written. */
   public int pendingClaimEnds() {
     return claimFinisher.pendingCount();
   }
--- a/router/src/main/java/org/lockdale/router/request/RequestPathBuilder.java
+++ b/router/src/main/java/org/lockdale/router/request/RequestPathBuilder.java
@@ -10,7 +10,7 @@
 import org.lockdale.router.limit.TenantUsageTable;
 import org.lockdale.router.placement.PrefixIndex;
 
-/** Collects what a {@link RequestPath} is made of. */
+/** Builds a {@link RequestPath}. Components without a default must be set. */
 public final class RequestPathBuilder {
 
   final Blackboard blackboard;
@@ -36,46 +36,46 @@
     this.time = time;
   }
 
-  /** Sets how engines are called. */
+  /** Sets the client of the engines and the event loops of the node. */
   public RequestPathBuilder engines(EngineClient client, EventLoopGroup group) {
     engineClient = client;
     eventLoops = group;
     return this;
   }
 
-  /** Sets where claims are kept. */
+  /** Sets the store of claims. */
   public RequestPathBuilder claims(RunOnceClaims runOnceClaims) {
     claims = runOnceClaims;
     return this;
   }
 
-  /** Sets what is remembered of prefixes. */
+  /** Sets the index of cached prefixes. */
   public RequestPathBuilder prefixes(PrefixIndex index) {
     prefixes = index;
     return this;
   }
 
-  /** Sets the queue and the usage of limits. */
+  /** Sets the capacity queue and the usage counters of tenants. */
   public RequestPathBuilder limits(CapacityQueue capacityQueue, TenantUsageTable tenantUsage) {
     queue = capacityQueue;
     usage = tenantUsage;
     return this;
   }
 
-  /** Sets where ends of requests are recorded. */
+  /** Sets the recorder of finished requests. */
   public RequestPathBuilder recorder(RequestRecorder requestRecorder) {
     recorder = requestRecorder;
     return this;
   }
 
-  /** Sets the deadline of requests that have none, and the longest silence within a stream. */
+  /** Sets the default deadline of requests and the timeout between two tokens of a stream. */
   public RequestPathBuilder timeouts(Duration deadline, Duration tokens) {
     defaultDeadline = deadline;
     tokenTimeout = tokens;
     return this;
   }
 
-  /** Sets the most further attempts of a request. */
+  /** Sets the maximum number of retries of a request. */
   public RequestPathBuilder maxRetries(int retries) {
     maxRetries = retries;
     return this;
--- a/router/src/main/java/org/lockdale/router/request/RequestRecorder.java
+++ b/router/src/main/java/org/lockdale/router/request/RequestRecorder.java
@@ -7,13 +7,13 @@
 import org.lockdale.openai.Outcome;
 import org.tinylog.Logger;
 
-/** Counts requests and writes one log line for each, without prompts and keys. */
+/** Records metrics and one log line for each request, without prompts and API keys. */
 public final class RequestRecorder {
 
   private final MeterRegistry metrics;
   private final AtomicInteger inFlight;
 
-  /** Creates a recorder for a registry of metrics. */
+  /** Creates a recorder that registers its metrics in a registry. */
   public RequestRecorder(MeterRegistry metrics) {
     this.metrics = metrics;
     this.inFlight = metrics.gauge("lockdale_requests_in_flight", new AtomicInteger());
@@ -23,7 +23,7 @@
     inFlight.incrementAndGet();
   }
 
-  /** Returns requests that have not ended. */
+  /** Returns the number of requests that have not ended. */
   public int inFlight() {
     return inFlight.get();
   }
@@ -57,7 +57,7 @@
         orNone(errorCode),
         context.attempts,
         context.relayedTokens,
-        context.callerLeft,
+        context.callerDisconnected,
         context.timeline());
   }
 
--- a/router/src/main/java/org/lockdale/router/request/RequestStage.java
+++ b/router/src/main/java/org/lockdale/router/request/RequestStage.java
@@ -1,27 +1,27 @@
 package org.lockdale.router.request;
 
-/** States a request goes through, noted with their time for diagnosis. */
+/** Stages of a request, logged with their times for diagnosis. */
 public enum RequestStage {
-  /** The whole request has arrived. */
+  /** The complete request has arrived. */
   RECEIVED,
   /** The tenant is known. */
   AUTHENTICATED,
   /** A route matched. */
   ROUTED,
-  /** It waits for room at an engine. */
+  /** The request is queued for capacity at an engine. */
   QUEUED,
   /** An engine is chosen. */
   PLACED,
   /** The claim is held. */
   CLAIMED,
-  /** It was sent to an engine. */
+  /** The request is sent to an engine. */
   DISPATCHED,
-  /** An engine refused it without running it. */
+  /** An attempt ended without running, as when an engine rejects it. */
   REFUSED_BY_ENGINE,
-  /** The first byte of the answer came. */
+  /** The first part of the response is sent to the caller. */
   FIRST_TOKEN,
-  /** A broken stream was taken up again. */
+  /** Resumption of a broken stream is requested from the engine. */
   RESUMED,
-  /** It has ended. */
+  /** The request has ended. */
   ENDED
 }
--- a/router/src/main/java/org/lockdale/router/request/RequestStep.java
+++ b/router/src/main/java/org/lockdale/router/request/RequestStep.java
@@ -3,29 +3,30 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One step of the request path. A step either lets the request go on, ends it by answering it, or
- * fails with a {@link org.lockdale.router.error.RequestException}.
+ * One step of the request path. A step lets the request continue, ends it with a response, or fails
+ * with a {@link org.lockdale.router.error.RequestException}.
  */
 interface RequestStep {
 
-  /** What comes after a step. */
+  /** What follows a step. */
   enum Next {
     /** The next step. */
     CONTINUE,
-    /** Nothing: the caller has its answer. */
+    /** Nothing: the request was answered, or its caller has disconnected. */
     ANSWERED
   }
 
-  /** Future of a step that is done and lets the request go on. */
+  /** Completed future of a step after which the request continues. */
   CompletableFuture<Next> CONTINUE = CompletableFuture.completedFuture(Next.CONTINUE);
 
-  /** Future of a step that has answered the request. */
+  /** Completed future of a step that has answered the request. */
   CompletableFuture<Next> ANSWERED = CompletableFuture.completedFuture(Next.ANSWERED);
 
   /**
    * Applies the step.
    *
-   * @return completes on the event loop of the caller's connection
+   * @return what follows; completes on the event loop of the caller's connection
+   * @throws org.lockdale.router.error.RequestException if the request is rejected
    */
   CompletableFuture<Next> apply(RequestContext context);
 }
--- a/router/src/main/java/org/lockdale/router/request/AnswerSink.java
+++ b/router/src/main/java/org/lockdale/router/request/ResponseSink.java
@@ -15,42 +15,44 @@
 import org.lockdale.router.error.RequestException;
 
 /**
- * The way of an answer to the caller. The head of a stream is sent with its first event, so that
- * until then another engine can be tried. Keeps a bounded copy where repeats will want it.
+ * Sends the response to the caller. The head of a stream is sent with its first event, so that the
+ * request can be retried at another engine until then. If the request has an idempotency key, keeps
+ * a copy of the response up to a size limit, to be stored for repeats of the request.
  */
-final class AnswerSink {
+final class ResponseSink {
 
   private static final int OK = 200;
   private static final long MAX_QUEUED_BYTES = 1024 * 1024;
-  private static final int MAX_KEPT_BYTES = 256 * 1024;
+  private static final int MAX_COPY_BYTES = 256 * 1024;
   private static final String EVENT_STREAM = "text/event-stream";
   private static final byte[] DONE =
       ServerSentEventDecoder.DONE.getBytes(StandardCharsets.US_ASCII);
 
   private final RequestContext context;
   private final HttpExchange exchange;
-  private @Nullable ByteArrayOutputStream kept;
+  private @Nullable ByteArrayOutputStream copy;
   private String contentType = "";
   private boolean started;
   private @Nullable ByteBuf batch;
 
-  AnswerSink(RequestContext context) {
+  ResponseSink(RequestContext context) {
     this.context = context;
     this.exchange = context.exchange;
-    this.kept = context.isRunOnce() ? new ByteArrayOutputStream() : null;
+    this.copy = context.isRunOnce() ? new ByteArrayOutputStream() : null;
   }
 
-  /** Returns whether any part of an answer was sent. */
+  /** Returns whether any part of the response was sent. */
   boolean hasStarted() {
     return started;
   }
 
   /**
-   * Sends an event of a stream; it leaves with the next {@link #flush}.
+   * Adds an event of a stream to the batch that the next {@link #flush} sends. If the caller has
+   * disconnected, the event is only added to the copy.
    *
-   * @return false where the caller reads so slowly that its queue is full
+   * @return false if the caller reads so slowly that its send queue is over the limit
    */
-  boolean event(ByteBuf event) {
+  boolean relayEvent(ByteBuf event) {
     if (!started) {
       started = true;
       contentType = EVENT_STREAM;
@@ -58,8 +60,8 @@
       exchange.startStream(OK, headers(EVENT_STREAM, Outcome.UNKNOWN));
     }
     context.relayedTokens++;
-    keep(event);
-    if (context.callerLeft) {
+    appendToCopy(event);
+    if (context.callerDisconnected) {
       return true;
     }
     if (batch == null) {
@@ -69,7 +71,7 @@
     return exchange.queuedBytes() <= MAX_QUEUED_BYTES;
   }
 
-  /** Sends the events gathered so far as one part. */
+  /** Sends the batched events as one part. */
   void flush() {
     if (batch != null) {
       exchange.write(batch);
@@ -85,42 +87,42 @@
         .set(HeaderNames.OUTCOME, outcome.wireName());
   }
 
-  private void keep(ByteBuf part) {
-    if (kept == null) {
+  private void appendToCopy(ByteBuf part) {
+    if (copy == null) {
       return;
     }
-    if (kept.size() + part.readableBytes() > MAX_KEPT_BYTES) {
-      kept = null;
+    if (copy.size() + part.readableBytes() > MAX_COPY_BYTES) {
+      copy = null;
       return;
     }
     byte[] bytes = new byte[part.readableBytes()];
     part.getBytes(part.readerIndex(), bytes);
-    kept.writeBytes(bytes);
+    copy.writeBytes(bytes);
   }
 
-  /** Ends a stream that is whole. */
-  void endOfStream() {
+  /** Ends a complete stream with the end marker. */
+  void endStream() {
     flush();
     ByteBuf done = Unpooled.wrappedBuffer(DONE);
-    keep(done);
+    appendToCopy(done);
     exchange.write(done);
     exchange.endStream();
   }
 
-  /** Sends a whole answer. */
-  void whole(byte[] body) {
+  /** Sends a complete response that is not a stream. */
+  void sendComplete(byte[] body) {
     started = true;
     contentType = HttpReply.JSON;
     context.enter(RequestStage.FIRST_TOKEN);
-    keep(Unpooled.wrappedBuffer(body));
+    appendToCopy(Unpooled.wrappedBuffer(body));
     exchange.reply(new HttpReply(OK, headers(HttpReply.JSON, Outcome.COMPLETE), body));
   }
 
   /**
-   * Ends a stream that can't become whole: an error event tells so, and the connection closes
-   * without the end marker.
+   * Ends a stream that can't be completed: sends an error event and closes the connection without
+   * the end marker.
    */
-  void breakOff(RequestException error) {
+  void abort(RequestException error) {
     flush();
     String json = new String(error.toBody().toJson(), StandardCharsets.UTF_8);
     exchange.write(
@@ -128,12 +130,15 @@
     exchange.abort();
   }
 
-  /** Returns the kept copy of the answer, or null where it was too large. */
-  byte @Nullable [] keptAnswer() {
-    return kept == null ? null : kept.toByteArray();
+  /**
+   * Returns the copy of the response, or null if the response was too large or the request has no
+   * idempotency key.
+   */
+  byte @Nullable [] responseCopy() {
+    return copy == null ? null : copy.toByteArray();
   }
 
-  /** Returns the media type of the answer. */
+  /** Returns the media type of the response, or an empty string before its first part. */
   String contentType() {
     return contentType;
   }
--- a/router/src/main/java/org/lockdale/router/request/TenantLimitStep.java
+++ b/router/src/main/java/org/lockdale/router/request/TenantLimitStep.java
@@ -6,7 +6,7 @@
 import org.lockdale.router.error.RequestException;
 import org.lockdale.router.limit.TenantUsageTable;
 
-/** Takes a place within the tenant's limits, which the end of the request gives back. */
+/** Acquires a slot within the tenant's limits, which is released when the request ends. */
 final class TenantLimitStep implements RequestStep {
 
   private final TenantUsageTable usage;
@@ -26,13 +26,13 @@
           ErrorKind.TENANT_LIMIT,
           "Tenant '" + context.tenant.name() + "' is at its limit at this node.");
     }
-    context.tenantPlaceTaken = true;
+    context.tenantSlotAcquired = true;
     return CONTINUE;
   }
 
   void release(RequestContext context) {
-    if (context.tenantPlaceTaken) {
-      context.tenantPlaceTaken = false;
+    if (context.tenantSlotAcquired) {
+      context.tenantSlotAcquired = false;
       usage.of(context.tenant.name()).release();
     }
   }
--- a/router/src/main/java/org/lockdale/router/request/package-info.java
+++ b/router/src/main/java/org/lockdale/router/request/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The path of a request, one class a step, in the order of {@link
+ * The processing of a request, one class per step, in the order given by {@link
  * org.lockdale.router.request.RequestPath}.
  */
 @NullMarked
--- a/router/src/main/java/org/lockdale/router/settings/NodeSettings.java
+++ b/router/src/main/java/org/lockdale/router/settings/NodeSettings.java
@@ -14,7 +14,7 @@
 import org.lockdale.settings.SettingsReference;
 import org.lockdale.settings.ValueParsers;
 
-/** The settings of a node: their declarations and their checked values. */
+/** The settings of a node: their declarations and validated values. */
 public final class NodeSettings {
 
   private static final Duration MILLISECOND = Duration.ofMillis(1);
@@ -45,7 +45,7 @@
           "Zone this node stands in, as named in the configuration.",
           ValueParsers.name());
 
-  /** Address that all ports are bound on. */
+  /** Address on which all ports are bound. */
   public static final Setting<InetAddress> BIND_ADDRESS =
       declare(
           "node.bind-address",
@@ -55,7 +55,7 @@
           "Address on which all ports are bound and which other nodes are told.",
           ValueParsers::ipAddress);
 
-  /** Threads that serve connections. */
+  /** Number of threads that serve connections. */
   public static final Setting<Integer> THREADS =
       declare(
           "node.threads",
@@ -85,7 +85,7 @@
           "Port of health, metrics, status and configuration; 0 takes a free one.",
           ValueParsers.integer(0, MAX_PORT));
 
-  /** Token of operators. */
+  /** Bearer token of operators. */
   public static final Setting<String> OPERATORS_TOKEN =
       secret(
           "operators.token",
@@ -103,7 +103,7 @@
           "Port of node-to-node messages, UDP and TCP; 0 takes a free one.",
           ValueParsers.integer(0, MAX_PORT));
 
-  /** Nodes to contact first. */
+  /** Addresses of nodes to contact first. */
   public static final Setting<List<InetSocketAddress>> PEERS_SEEDS =
       declare(
           "peers.seeds",
@@ -113,7 +113,7 @@
           "Peer addresses to contact while no other node is known; its own may be among them.",
           ValueParsers::addresses);
 
-  /** Key of node-to-node messages. */
+  /** Key that authenticates node-to-node messages. */
   public static final Setting<String> PEERS_SHARED_KEY =
       secret(
           "peers.shared-key",
@@ -131,7 +131,7 @@
           "Address of the platform's table service and machine list.",
           ValueParsers::address);
 
-  /** Longest wait for the platform. */
+  /** Timeout of calls to the platform. */
   public static final Setting<Duration> PLATFORM_TIMEOUT =
       declare(
           "platform.timeout",
@@ -141,7 +141,7 @@
           "Longest wait for one answer of the platform.",
           ValueParsers.duration(TEN_MILLIS, MINUTE));
 
-  /** Time between polls of the platform. */
+  /** Interval between polls of the platform. */
   public static final Setting<Duration> PLATFORM_POLL_INTERVAL =
       declare(
           "platform.poll-interval",
@@ -151,7 +151,7 @@
           "Time between two reads of the machine list, and of the configuration by its poller.",
           ValueParsers.duration(Duration.ofMillis(100), MINUTE));
 
-  /** Largest request body. */
+  /** Maximum size of a request body. */
   public static final Setting<Integer> REQUEST_MAX_BODY_BYTES =
       declare(
           "request.max-body-bytes",
@@ -161,7 +161,7 @@
           "Largest request body; longer ones are answered with 413.",
           ValueParsers.integer(KIB, 64 * MIB));
 
-  /** Largest request headers. */
+  /** Maximum total size of request headers. */
   public static final Setting<Integer> REQUEST_MAX_HEADER_BYTES =
       declare(
           "request.max-header-bytes",
@@ -171,7 +171,7 @@
           "Largest total of request headers; longer ones are answered with 431.",
           ValueParsers.integer(KIB, MIB));
 
-  /** Longest time for a request to arrive. */
+  /** Timeout for a request to arrive completely. */
   public static final Setting<Duration> REQUEST_BODY_TIMEOUT =
       declare(
           "request.body-timeout",
@@ -181,7 +181,7 @@
           "Longest time from the first byte of a request to its last; then 408.",
           ValueParsers.duration(Duration.ofMillis(100), HOUR));
 
-  /** Deadline of requests that set none. */
+  /** Default deadline of requests. */
   public static final Setting<Duration> REQUEST_DEFAULT_DEADLINE =
       declare(
           "request.default-deadline",
@@ -191,7 +191,7 @@
           "Time for a whole answer where neither the request nor its priority sets one.",
           ValueParsers.duration(Duration.ofMillis(100), HOUR));
 
-  /** Most connections of callers. */
+  /** Maximum number of caller connections. */
   public static final Setting<Integer> REQUEST_MAX_CONNECTIONS =
       declare(
           "request.max-connections",
@@ -201,7 +201,7 @@
           "Most connections of callers at once; further ones are closed.",
           ValueParsers.integer(1, 1_000_000));
 
-  /** Time between load reports of near engines. */
+  /** Interval between load reports of engines in the same zone. */
   public static final Setting<Duration> ENGINE_REPORT_INTERVAL =
       declare(
           "engine.report-interval",
@@ -211,7 +211,7 @@
           "Time between two reads of the load of an engine in this node's zone.",
           ValueParsers.duration(TEN_MILLIS, MINUTE));
 
-  /** Time between load reports of far engines. */
+  /** Interval between load reports of engines in other zones. */
   public static final Setting<Duration> ENGINE_REMOTE_REPORT_INTERVAL =
       declare(
           "engine.remote-report-interval",
@@ -221,7 +221,7 @@
           "Time between two reads of the load of an engine in another zone.",
           ValueParsers.duration(TEN_MILLIS, MINUTE));
 
-  /** Longest silence of an engine within a stream. */
+  /** Timeout between two tokens of a stream. */
   public static final Setting<Duration> ENGINE_TOKEN_TIMEOUT =
       declare(
           "engine.token-timeout",
@@ -231,7 +231,7 @@
           "Longest silence of an engine between two tokens of a stream.",
           ValueParsers.duration(TEN_MILLIS, HOUR));
 
-  /** Most further attempts of a request. */
+  /** Maximum number of retries of a request. */
   public static final Setting<Integer> ENGINE_MAX_RETRIES =
       declare(
           "engine.max-retries",
@@ -241,7 +241,7 @@
           "Most further attempts at other engines after one that can be repeated.",
           ValueParsers.integer(0, 20));
 
-  /** Longest queue of requests. */
+  /** Maximum length of the request queue. */
   public static final Setting<Integer> QUEUE_MAX_LENGTH =
       declare(
           "queue.max-length",
@@ -251,7 +251,7 @@
           "Most requests that wait at this node for room at an engine.",
           ValueParsers.integer(0, 1_000_000));
 
-  /** Prefixes remembered. */
+  /** Maximum number of prefixes in the prefix index. */
   public static final Setting<Integer> PREFIX_INDEX_CAPACITY =
       declare(
           "prefix.index-capacity",
@@ -261,8 +261,8 @@
           "Prefixes whose holders this node remembers.",
           ValueParsers.integer(KIB, 10_000_000));
 
-  /** Life of a belief about a prefix. */
-  public static final Setting<Duration> PREFIX_BELIEF_LIFETIME =
+  /** Lifetime of an entry of the prefix index that is not confirmed. */
+  public static final Setting<Duration> PREFIX_ENTRY_LIFETIME =
       declare(
           "prefix.belief-lifetime",
           "duration",
@@ -271,7 +271,7 @@
           "Time after which an engine is no longer believed to hold a prefix.",
           ValueParsers.duration(MILLISECOND, HOUR));
 
-  /** Time for open requests at a planned stop. */
+  /** Timeout for open requests during a graceful shutdown. */
   public static final Setting<Duration> SHUTDOWN_DRAIN_TIMEOUT =
       declare(
           "shutdown.drain-timeout",
@@ -307,7 +307,7 @@
           ENGINE_MAX_RETRIES,
           QUEUE_MAX_LENGTH,
           PREFIX_INDEX_CAPACITY,
-          PREFIX_BELIEF_LIFETIME,
+          PREFIX_ENTRY_LIFETIME,
           SHUTDOWN_DRAIN_TIMEOUT);
 
   private final Map<Setting<?>, Object> values;
@@ -339,7 +339,7 @@
   }
 
   /**
-   * Loads and checks the settings of a node.
+   * Loads and validates the settings of a node.
    *
    * @param file YAML file of keys and values, or null for none
    * @param flags values that override the file
@@ -349,7 +349,7 @@
     return new NodeSettings(SettingsLoader.load(ALL, file, flags));
   }
 
-  /** Returns docs/SETTINGS.md. */
+  /** Returns the contents of docs/SETTINGS.md. */
   public static String referencePage() {
     return SettingsReference.toMarkdown(
         "Settings of a node",
--- a/router/src/main/java/org/lockdale/router/settings/package-info.java
+++ b/router/src/main/java/org/lockdale/router/settings/package-info.java
@@ -1,4 +1,4 @@
-/** Settings of a node: each declared once with type, default, range and description. */
+/** Settings of a node, each declared once with its type, default, range and description. */
 @NullMarked
 package org.lockdale.router.settings;
 
--- a/router/src/test/java/org/lockdale/router/limit/LimitsTest.java
+++ b/router/src/test/java/org/lockdale/router/limit/LimitsTest.java
@@ -12,18 +12,18 @@
 import org.lockdale.router.policy.TenantLimit;
 import org.testng.annotations.Test;
 
-/** Limits, the capacity queue and retry budgets. */
+/** Tests tenant limits, the capacity queue and retry budgets. */
 public final class LimitsTest {
 
-  private final AtomicInteger room = new AtomicInteger();
+  private final AtomicInteger capacity = new AtomicInteger();
   private final List<String> started = new ArrayList<>();
 
-  private boolean takeRoom() {
-    return room.getAndUpdate(free -> Math.max(0, free - 1)) > 0;
+  private boolean reserveCapacity() {
+    return capacity.getAndUpdate(free -> Math.max(0, free - 1)) > 0;
   }
 
   private void add(CapacityQueue queue, int level, String tenant, int weight) {
-    CapacityQueue.Waiter waiter = queue.add(level, tenant, weight, this::takeRoom);
+    CapacityQueue.Waiter waiter = queue.add(level, tenant, weight, this::reserveCapacity);
     assertNotNull(waiter);
     waiter.started().thenRun(() -> started.add(tenant));
   }
@@ -32,21 +32,21 @@
     return started.stream().filter(tenant::equals).count();
   }
 
-  /** Higher levels go first, whoever came first. */
+  /** Higher levels are started first, regardless of the order of arrival. */
   @Test
   public void priorityComesFirst() {
     started.clear();
     CapacityQueue queue = new CapacityQueue(100);
     add(queue, 100, "draft", 100);
     add(queue, 900, "counter", 100);
-    room.set(1);
+    capacity.set(1);
     queue.drain();
     assertEquals(started, List.of("counter"));
     assertEquals(queue.lengthAtOrAbove(900), 0);
     assertEquals(queue.length(), 1);
   }
 
-  /** The flood of one tenant does not make another wait behind it; weights share the room. */
+  /** A burst of one tenant does not delay another; tenants share the capacity by weight. */
   @Test
   public void tenantsShareByWeight() {
     started.clear();
@@ -58,7 +58,7 @@
       add(queue, 500, "small", 100);
       add(queue, 500, "large", 200);
     }
-    room.set(80);
+    capacity.set(80);
     queue.drain();
     assertEquals(started.size(), 80);
     assertTrue(Math.abs(startedOf("small") - 20) <= 1, started.toString());
@@ -66,19 +66,21 @@
     assertTrue(Math.abs(startedOf("flood") - 20) <= 1, started.toString());
   }
 
-  /** A request that finds no room lets another tenant's go first, whose engines may be others. */
+  /**
+   * A request without capacity does not block those of other tenants, which may use other engines.
+   */
   @Test
-  public void oneTenantWithoutRoomHoldsNobodyUp() {
+  public void tenantWithoutCapacityDoesNotBlockOthers() {
     started.clear();
     CapacityQueue queue = new CapacityQueue(10);
     queue.add(500, "stuck", 100, () -> false);
     add(queue, 500, "free", 100);
-    room.set(1);
+    capacity.set(1);
     queue.drain();
     assertEquals(started, List.of("free"));
   }
 
-  /** The queue is bounded, and who gives up leaves it. */
+  /** The queue is bounded, and a request can be removed from it once. */
   @Test
   public void theQueueIsBounded() {
     CapacityQueue queue = new CapacityQueue(2);
@@ -90,23 +92,23 @@
     assertEquals(queue.length(), 1);
   }
 
-  /** Requests in flight and a second are counted for each tenant. */
+  /** Concurrent requests and requests per second are limited. */
   @Test
-  public void limitsAreKept() {
+  public void limitsAreEnforced() {
     TenantUsage usage = new TenantUsage();
     TenantLimit limit = new TenantLimit(2, 3, 100);
     assertTrue(usage.tryAcquire(limit, 0));
     assertTrue(usage.tryAcquire(limit, 0));
-    assertFalse(usage.tryAcquire(limit, 0), "a third at once");
+    assertFalse(usage.tryAcquire(limit, 0), "third concurrent request");
     usage.release();
     assertTrue(usage.tryAcquire(limit, 0));
     usage.release();
-    assertFalse(usage.tryAcquire(limit, 0), "a fourth in the second");
+    assertFalse(usage.tryAcquire(limit, 0), "fourth request in the same second");
     assertTrue(usage.tryAcquire(limit, 1_000));
     assertEquals(usage.inFlight(), 2);
   }
 
-  /** Retries are a share of successes. */
+  /** Retries are limited to a fraction of successes. */
   @Test
   public void retriesAreBounded() {
     RetryBudget budget = new RetryBudget();
@@ -116,7 +118,7 @@
     }
     assertEquals(granted, 20);
     for (int success = 0; success < 10; success++) {
-      budget.succeeded();
+      budget.recordSuccess();
     }
     assertTrue(budget.tryRetry());
     assertTrue(budget.tryRetry());
--- a/router/src/test/java/org/lockdale/router/placement/EngineChooserTest.java
+++ b/router/src/test/java/org/lockdale/router/placement/EngineChooserTest.java
@@ -22,7 +22,7 @@
 import org.lockdale.router.policy.Selector;
 import org.testng.annotations.Test;
 
-/** The choice of an engine and what it is based on. */
+/** Tests the choice of an engine, the prefix index and cache scopes. */
 public final class EngineChooserTest {
 
   private static final int ENGINES = 8;
@@ -37,7 +37,7 @@
         InetSocketAddress.createUnresolved("engine", 1),
         "zone",
         Map.of("engine", id),
-        "life",
+        "incarnation",
         Map.of("model", weights),
         leaving,
         new EngineLoad(running, 0, running * 1_000L, 32, 20_000, 0),
@@ -52,10 +52,11 @@
     return new EngineTable(engines);
   }
 
-  private static PrefixChain chain(int shared, int own) {
+  private static PrefixChain chain(int shared, int suffix) {
     byte[] prompt = new byte[PROMPT_BYTES];
     for (int index = 0; index < PROMPT_BYTES; index++) {
-      prompt[index] = (byte) (index < PROMPT_BYTES - 512 ? shared * 31 + index : own * 7 + index);
+      prompt[index] =
+          (byte) (index < PROMPT_BYTES - 512 ? shared * 31 + index : suffix * 7 + index);
     }
     return PrefixChain.of(new CacheScope("tenant", "model", "", "v1"), prompt);
   }
@@ -81,9 +82,12 @@
     return new PrefixIndex(1_024, 30_000);
   }
 
-  /** Nodes that know nothing of each other send one group to one engine, and groups to many. */
+  /**
+   * Without communication, nodes choose the same engine for a group, and spread groups over
+   * engines.
+   */
   @Test
-  public void nodesAgreeWithoutAMessage() {
+  public void nodesAgreeWithoutCommunication() {
     Set<String> homes = new HashSet<>();
     for (int shared = 0; shared < 40; shared++) {
       String first = choose(plain(chain(shared, 1)), emptyIndex(), idleEngines());
@@ -94,7 +98,7 @@
     assertTrue(homes.size() > ENGINES / 2, homes.toString());
   }
 
-  /** When an engine goes, only its own groups move. */
+  /** If an engine is removed, only the groups at that engine move. */
   @Test
   public void onlyTheGroupsOfALostEngineMove() {
     for (int shared = 0; shared < 40; shared++) {
@@ -106,11 +110,13 @@
     }
   }
 
-  /** Engines that may not serve are never chosen: selector, weights, leaving, failed, excluded. */
+  /**
+   * Engines that can't serve are never chosen: other labels or weights, draining, failed, excluded.
+   */
   @Test
-  public void obstaclesAreRespected() {
+  public void unsuitableEnginesAreNotChosen() {
     EngineView failed = engine(3, "v1", false, 0);
-    failed.activity().failed(0);
+    failed.activity().recordFailure(0);
     EngineTable engines =
         new EngineTable(
             List.of(
@@ -133,9 +139,9 @@
     }
   }
 
-  /** A home that is far behind is left for another engine. */
+  /** If the home engine is busy, another one is chosen. */
   @Test
-  public void aBusyHomeIsLeft() {
+  public void aBusyHomeIsAvoided() {
     PrefixChain chain = chain(1, 1);
     String home = choose(plain(chain), emptyIndex(), idleEngines());
     List<EngineView> engines = new ArrayList<>();
@@ -146,9 +152,9 @@
     assertNotEquals(choose(plain(chain), emptyIndex(), new EngineTable(engines)), home);
   }
 
-  /** A prefix in much demand is served by several engines as its first home fills. */
+  /** A popular prefix is served by several engines as its first home fills up. */
   @Test
-  public void aHotPrefixGetsSeveralHomes() {
+  public void aPopularPrefixGetsSeveralHomes() {
     PrefixChain chain = chain(1, 1);
     EngineTable engines = idleEngines();
     PlacementRequest hot = request(chain, Selector.EVERYTHING, Set.of(), new Popularity(0.3, 0.3));
@@ -161,9 +167,9 @@
     assertTrue(used.size() >= 2, used.toString());
   }
 
-  /** The index is bounded and forgets what was not confirmed. */
+  /** The index is bounded, and its entries expire if they are not confirmed. */
   @Test
-  public void beliefsAreBoundedAndFade() {
+  public void indexIsBoundedAndEntriesExpire() {
     PrefixIndex index = new PrefixIndex(160, 1_000);
     for (int shared = 0; shared < 200; shared++) {
       index.stored(chain(shared, 1), 7, 0);
@@ -174,9 +180,9 @@
     assertEquals(index.match(last, 2_000).depthAt(7), 0);
   }
 
-  /** No block hash of one tenant, model or weights version equals one of another. */
+  /** Block hashes of different tenants or weights versions are all distinct. */
   @Test
-  public void scopesShareNoBlock() {
+  public void scopesShareNoBlockHash() {
     byte[] prompt = new byte[PROMPT_BYTES];
     Set<Long> seen = new HashSet<>();
     for (String tenant : List.of("a", "b")) {
--- a/router/src/test/java/org/lockdale/router/settings/SettingsTest.java
+++ b/router/src/test/java/org/lockdale/router/settings/SettingsTest.java
@@ -14,10 +14,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Settings are checked as a whole, and their page is that of the declarations. */
+/** Tests the validation of settings, and that their reference page is current. */
 public final class SettingsTest {
 
-  private static Map<String, String> good() {
+  private static Map<String, String> validFlags() {
     return new HashMap<>(
         Map.of(
             "node.id", "n1",
@@ -26,7 +26,7 @@
             "platform.address", "127.0.0.1:6080"));
   }
 
-  /** Wrong values with the words that the error must contain. */
+  /** Invalid values with the text that the error must contain. */
   @DataProvider
   public Object[][] wrong() {
     return new Object[][] {
@@ -42,10 +42,10 @@
     };
   }
 
-  /** The error names key, value and what is allowed. */
+  /** The error names the key and what is allowed. */
   @Test(dataProvider = "wrong")
   public void wrongValuesAreNamed(String key, String value, String remedy) {
-    Map<String, String> flags = good();
+    Map<String, String> flags = validFlags();
     flags.put(key, value);
     SettingsException failure =
         expectThrows(SettingsException.class, () -> NodeSettings.load(null, flags));
@@ -53,48 +53,48 @@
     assertTrue(failure.getMessage().contains(remedy), failure.getMessage());
   }
 
-  /** A secret never stands in an error. */
+  /** An error does not contain the value of a secret. */
   @Test
   public void secretsAreNotPrinted() {
-    Map<String, String> flags = good();
+    Map<String, String> flags = validFlags();
     flags.put("peers.shared-key", "tooshort");
     SettingsException failure =
         expectThrows(SettingsException.class, () -> NodeSettings.load(null, flags));
     assertTrue(!failure.getMessage().contains("tooshort"), failure.getMessage());
   }
 
-  /** All problems are told at once. */
+  /** All problems are reported at once. */
   @Test
-  public void allProblemsAreTold() {
+  public void allProblemsAreReported() {
     SettingsException failure =
         expectThrows(SettingsException.class, () -> NodeSettings.load(null, Map.of()));
     assertEquals(failure.getMessage().lines().count(), 4, failure.getMessage());
   }
 
-  /** Flags win over the file, and the file is named in errors. */
+  /** Flags override the file, and errors name the file. */
   @Test
-  public void flagsWinOverTheFile() throws IOException {
+  public void flagsOverrideTheFile() throws IOException {
     Path file = Files.createTempFile("settings", ".yaml");
     try {
       Files.writeString(file, "node.id: from-file\nplatform.timeout: 2s\n");
-      NodeSettings settings = NodeSettings.load(file, good());
+      NodeSettings settings = NodeSettings.load(file, validFlags());
       assertEquals(settings.get(NodeSettings.NODE_ID), "n1");
       assertEquals(settings.get(NodeSettings.PLATFORM_TIMEOUT), Duration.ofSeconds(2));
       Files.writeString(file, "platform.timeout: never\n");
       SettingsException failure =
-          expectThrows(SettingsException.class, () -> NodeSettings.load(file, good()));
+          expectThrows(SettingsException.class, () -> NodeSettings.load(file, validFlags()));
       assertTrue(failure.getMessage().contains(file.toString()), failure.getMessage());
     } finally {
       Files.delete(file);
     }
   }
 
-  /** docs/SETTINGS.md is the page of the declarations. */
+  /** docs/SETTINGS.md is generated from the declarations. */
   @Test
   public void thePageIsCurrent() throws IOException {
     assertEquals(
         Files.readString(Path.of("../docs/SETTINGS.md")),
         NodeSettings.referencePage(),
-        "write it anew: ./lockdale node --settings-reference > docs/SETTINGS.md");
+        "regenerate it: ./lockdale node --settings-reference > docs/SETTINGS.md");
   }
 }
