--- a/router/src/main/java/org/lockdale/router/controller/CoordinationController.java
+++ b/router/src/main/java/org/lockdale/router/controller/CoordinationController.java
@@ -107,8 +107,8 @@
   }
 
   private void poll() {
-    boolean isPoller = node.configuration().version() == 0 || node.isConfigurationPoller();
-    if (closed || polling || !isPoller) {
+    boolean shouldPoll = node.configuration().version() == 0 || node.isConfigurationPoller();
+    if (closed || polling || !shouldPoll) {
       return;
     }
     polling = true;
@@ -155,7 +155,7 @@
           .writeSnapshot(state)
           .exceptionally(
               failure -> {
-                // Not needed: readers read the individual changes instead.
+                // Readers fall back to the individual changes.
                 Logger.warn("event=snapshot-failed cause={}", failure.toString());
                 return null;
               });
@@ -163,7 +163,7 @@
   }
 
   /** Announces to the other nodes that this node leaves the cluster. */
-  public void announceLeaving() {
+  public void announceLeave() {
     eventLoop.execute(() -> sendAll(node.leave()));
   }
 
--- a/router/src/main/java/org/lockdale/router/controller/EngineController.java
+++ b/router/src/main/java/org/lockdale/router/controller/EngineController.java
@@ -35,7 +35,7 @@
   /** Engines that are no longer listed are kept this long, since the list may be wrong. */
   private static final long UNLISTED_RETENTION_MILLIS = 10_000;
 
-  /** Time for which a report waits for others before it is published. */
+  /** Maximum time for which a report waits for others before it is published. */
   private static final long PUBLICATION_DELAY_MILLIS = 10;
 
   private final EventLoop eventLoop;
@@ -188,8 +188,8 @@
   }
 
   /**
-   * Schedules a publication that includes all reports until then, since each one rebuilds the views
-   * of all engines.
+   * Schedules a publication that includes all reports until then, since each publication rebuilds
+   * the views of all engines.
    */
   private void schedulePublication() {
     if (!publicationScheduled) {
--- a/router/src/main/java/org/lockdale/router/node/RouterNode.java
+++ b/router/src/main/java/org/lockdale/router/node/RouterNode.java
@@ -279,7 +279,7 @@
         settings.get(NodeSettings.NODE_ID),
         recorder.inFlight());
     blackboard.phase().publish(NodePhase.STOPPING, time.monotonicMillis());
-    coordination.announceLeaving();
+    coordination.announceLeave();
     long drainDeadlineMillis =
         time.monotonicMillis() + settings.get(NodeSettings.SHUTDOWN_DRAIN_TIMEOUT).toMillis();
     CompletableFuture<Void> drained = new CompletableFuture<>();
--- a/router/src/main/java/org/lockdale/router/placement/EngineChooser.java
+++ b/router/src/main/java/org/lockdale/router/placement/EngineChooser.java
@@ -13,8 +13,8 @@
  * uncached tokens, network latency), with prefill weighted higher than the time it takes. Engines
  * that rendezvous hashing selects for a request's group of prompts are assumed to hold their shared
  * prefix, since all nodes send the group there; other engines are assumed to hold a part of what
- * this node observed. A pure function of its arguments. docs/design/0002-placement.md explains the
- * weights.
+ * this node observed. A pure function of its arguments. The weights are based on simulations by
+ * {@code lockdale experiment run}; see docs/design/0002-placement.md.
  */
 public final class EngineChooser {
 
--- a/router/src/main/java/org/lockdale/router/placement/GroupHomes.java
+++ b/router/src/main/java/org/lockdale/router/placement/GroupHomes.java
@@ -19,9 +19,7 @@
   /** Maximum number of homes of a group. */
   private static final int MAX_HOMES = 4;
 
-  /**
-   * Number of homes for each fair share of requests; a fair share is one divided by the engines.
-   */
+  /** Number of homes per fair share of requests, which is 1 divided by the number of candidates. */
   private static final double HOMES_PER_FAIR_SHARE = 2;
 
   private final long groupKey;
--- a/router/src/main/java/org/lockdale/router/placement/PlacementRequest.java
+++ b/router/src/main/java/org/lockdale/router/placement/PlacementRequest.java
@@ -10,7 +10,7 @@
  * @param model model to run
  * @param weightsVersion weights version that engines must hold
  * @param engineSelector selects the engines allowed by the route
- * @param excludedEngines ids of engines at which an attempt of the request has failed
+ * @param excludedEngines ids of engines that rejected or failed an attempt of the request
  * @param chain hashes of the prefix blocks
  * @param promptTokens estimated length of the prompt in tokens
  * @param priorityLevel 0 to 1000
--- a/router/src/main/java/org/lockdale/router/platform/MachineListClient.java
+++ b/router/src/main/java/org/lockdale/router/platform/MachineListClient.java
@@ -44,9 +44,9 @@
   public CompletableFuture<Optional<List<Machine>>> readIfChanged(
       InetSocketAddress address, String path) {
     HttpRequestMessage request = HttpRequestMessage.get(path);
-    String known = entityTags.get(address);
-    if (known != null) {
-      request.with("if-none-match", known);
+    String lastTag = entityTags.get(address);
+    if (lastTag != null) {
+      request.with("if-none-match", lastTag);
     }
     return client
         .exchange(address, request, timeout)
--- a/router/src/main/java/org/lockdale/router/request/ClaimStep.java
+++ b/router/src/main/java/org/lockdale/router/request/ClaimStep.java
@@ -29,7 +29,7 @@
  */
 final class ClaimStep implements RequestStep {
 
-  /** A claim updated more recently is left to its holder, which may be about to dispatch. */
+  /** Age below which a claim is left to its holder, which may be about to dispatch. */
   private static final long HOLDER_GRACE_MILLIS = 3_000;
 
   private final RunOnceClaims claims;
@@ -95,7 +95,7 @@
         .exceptionally(
             failure -> {
               finisher.abandon(key, attempt);
-              throw storeUnavailable();
+              throw storeUnavailableError();
             })
         .thenCompose(decision -> handleDecision(context, key, attempt, decision));
   }
@@ -110,17 +110,18 @@
         .handle(
             (claim, failure) -> {
               if (failure != null) {
-                // The row may name either attempt; neither can run any more, so both are given up.
+                // The row may name either attempt; neither can run any more, so the claims of both
+                // are given up.
                 finisher.release(held);
                 finisher.abandon(held.key(), attempt);
-                throw storeUnavailable();
+                throw storeUnavailableError();
               }
               recordClaim(context, claim);
               return Next.CONTINUE;
             });
   }
 
-  private static RequestException storeUnavailable() {
+  private static RequestException storeUnavailableError() {
     return RequestException.of(
         ErrorKind.CLAIM_STORE_UNAVAILABLE,
         "The claim of the idempotency key could not be taken, so the request was not started.");
@@ -145,7 +146,7 @@
       return takeOverClaim(context, key, attempt, held);
     }
     if (decision instanceof ClaimDecision.OutcomeLost) {
-      throw outcomeUnknown();
+      throw outcomeUnknownError();
     }
     throw RequestException.of(
         ErrorKind.IDEMPOTENCY_KEY_REUSED, "The idempotency key was used with another body.");
@@ -164,13 +165,13 @@
             .with(HeaderNames.REQUEST_ID, context.requestId));
   }
 
-  private static RequestException outcomeUnknown() {
+  private static RequestException outcomeUnknownError() {
     return RequestException.of(
         ErrorKind.OUTCOME_UNKNOWN,
         "The request may have run before, and what came of it can't be found out.");
   }
 
-  private static RequestException inProgress() {
+  private static RequestException inProgressError() {
     return RequestException.of(
         ErrorKind.REQUEST_IN_PROGRESS, "Another attempt with this idempotency key is running.");
   }
@@ -179,7 +180,7 @@
       RequestContext context, String key, ClaimRecord attempt, ClaimDecision.HeldByOther held) {
     ClaimRecord holder = held.record();
     if (time.wallMillis() - holder.getUpdatedAtMillis() < HOLDER_GRACE_MILLIS) {
-      throw inProgress();
+      throw inProgressError();
     }
     Optional<EngineView> engine =
         blackboard
@@ -188,7 +189,7 @@
             .find(holder.getEngineId())
             .filter(view -> view.incarnation().equals(holder.getEngineIncarnation()));
     if (engine.isEmpty()) {
-      throw outcomeUnknown();
+      throw outcomeUnknownError();
     }
     return engines
         .queryFate(engine.get(), holder.getAttemptId())
@@ -200,17 +201,17 @@
         .thenCompose(
             fate -> {
               if (fate == AttemptFate.RUNNING) {
-                throw inProgress();
+                throw inProgressError();
               }
               if (fate != AttemptFate.NEVER_STARTED) {
-                throw outcomeUnknown();
+                throw outcomeUnknownError();
               }
               HeldClaim row = new HeldClaim(key, holder, held.rowVersion());
               return claims
                   .release(row)
                   .exceptionally(
                       failure -> {
-                        throw new CompletionException(inProgress());
+                        throw new CompletionException(inProgressError());
                       })
                   .thenCompose(released -> takeClaim(context, key, attempt));
             });
--- a/router/src/main/java/org/lockdale/router/request/PlacementStep.java
+++ b/router/src/main/java/org/lockdale/router/request/PlacementStep.java
@@ -59,7 +59,7 @@
                         ErrorKind.NO_ENGINE,
                         "No engine that route '" + context.route.name() + "' allows is up."));
     if (placement.expectedMillis() > context.millisToDeadline()) {
-      throw overloaded(placement.expectedMillis());
+      throw overloadedError(placement.expectedMillis());
     }
     boolean canStart = placement.hasCapacity() && queue.lengthAtOrAbove(level(context)) == 0;
     if (canStart) {
@@ -82,7 +82,7 @@
   private CompletableFuture<Next> waitForCapacity(RequestContext context) {
     double expectedWait = drainRate.expectedMillis(queue.lengthAtOrAbove(level(context)) + 1);
     if (expectedWait > context.millisToDeadline()) {
-      throw overloaded(expectedWait);
+      throw overloadedError(expectedWait);
     }
     CapacityQueue.Waiter waiter =
         queue.add(
@@ -91,7 +91,7 @@
             context.tenant.limit().weight(),
             () -> tryStart(context));
     if (waiter == null) {
-      throw overloaded(drainRate.expectedMillis(queue.length()));
+      throw overloadedError(drainRate.expectedMillis(queue.length()));
     }
     context.enter(RequestStage.QUEUED);
     CompletableFuture<Next> placed = new CompletableFuture<>();
@@ -147,7 +147,7 @@
             });
   }
 
-  private static RequestException overloaded(double expectedMillis) {
+  private static RequestException overloadedError(double expectedMillis) {
     int seconds = (int) Math.min(60, Math.max(1, Math.ceil(expectedMillis / 1_000)));
     return RequestException.builder(
             ErrorKind.OVERLOADED, "The engines are too busy to start the request in time.")
--- a/router/src/main/java/org/lockdale/router/request/RequestContext.java
+++ b/router/src/main/java/org/lockdale/router/request/RequestContext.java
@@ -50,7 +50,7 @@
   int promptTokens;
   int attempts;
   int cachedTokens;
-  int relayedTokens;
+  int relayedEvents;
 
   /** Whether an earlier attempt may have run, whatever the outcome of later ones. */
   boolean mayHaveRun;
--- a/router/src/main/java/org/lockdale/router/request/RequestPath.java
+++ b/router/src/main/java/org/lockdale/router/request/RequestPath.java
@@ -149,7 +149,7 @@
         return attempt(context, sink);
       }
       releaseClaim(context);
-      throw notStarted(context, notStarted.reason());
+      throw notStartedError(context, notStarted.reason());
     }
     if (result instanceof AttemptResult.Failed failed) {
       context.mayHaveRun = true;
@@ -163,7 +163,7 @@
           ErrorKind.ENGINE_FAILED, "The engine failed: " + failed.reason() + ".");
     }
     markClaimUnknown(context);
-    throw interrupted(context, sink, result);
+    throw abortResponse(context, sink, result);
   }
 
   private boolean mayRetry(RequestContext context) {
@@ -173,7 +173,7 @@
         && usage.of(context.tenant.name()).retryBudget().tryRetry();
   }
 
-  private static RequestException notStarted(RequestContext context, String reason) {
+  private static RequestException notStartedError(RequestContext context, String reason) {
     ErrorKind kind =
         context.millisToDeadline() <= 0 ? ErrorKind.DEADLINE_EXPIRED : ErrorKind.OVERLOADED;
     return RequestException.builder(kind, "No engine started the request: " + reason + ".")
@@ -181,13 +181,13 @@
         .build();
   }
 
-  private static RequestException interrupted(
+  private static RequestException abortResponse(
       RequestContext context, ResponseSink sink, AttemptResult result) {
     RequestException error;
-    if (result instanceof AttemptResult.Interrupted broken) {
+    if (result instanceof AttemptResult.Interrupted interrupted) {
       error =
           RequestException.of(
-              ErrorKind.ENGINE_FAILED, "The answer broke off: " + broken.reason() + ".");
+              ErrorKind.ENGINE_FAILED, "The answer broke off: " + interrupted.reason() + ".");
     } else {
       String reason = ((AttemptResult.Cancelled) result).reason();
       error =
--- a/router/src/main/java/org/lockdale/router/request/RequestRecorder.java
+++ b/router/src/main/java/org/lockdale/router/request/RequestRecorder.java
@@ -34,7 +34,7 @@
     metrics
         .counter("lockdale_requests", "outcome", outcome.wireName(), "error", orNone(errorCode))
         .increment();
-    metrics.counter("lockdale_relayed_events").increment(context.relayedTokens);
+    metrics.counter("lockdale_relayed_events").increment(context.relayedEvents);
     if (context.attempts > 1) {
       metrics.counter("lockdale_retries").increment(context.attempts - 1.0);
     }
@@ -56,7 +56,7 @@
         outcome.wireName(),
         orNone(errorCode),
         context.attempts,
-        context.relayedTokens,
+        context.relayedEvents,
         context.callerDisconnected,
         context.timeline());
   }
--- a/router/src/main/java/org/lockdale/router/request/ResponseSink.java
+++ b/router/src/main/java/org/lockdale/router/request/ResponseSink.java
@@ -59,7 +59,7 @@
       context.enter(RequestStage.FIRST_TOKEN);
       exchange.startStream(OK, headers(EVENT_STREAM, Outcome.UNKNOWN));
     }
-    context.relayedTokens++;
+    context.relayedEvents++;
     appendToCopy(event);
     if (context.callerDisconnected) {
       return true;
