--- a/router/src/main/java/org/lockdale/router/request/ClaimFinisher.java
+++ b/router/src/main/java/org/lockdale/router/request/ClaimFinisher.java
@@ -12,7 +12,7 @@
 import org.tinylog.Logger;
 
 /**
- * Writes the final states of claims after the response was sent, and retries while the table
+ * Writes the final states of claims without delaying the response, and retries while the table
  * service is unavailable. If the node stops before a state is written, a repeat of the request does
  * not get the stored response, but it never runs a second time.
  */
