--- a/soak/src/main/java/org/lockdale/soak/link/ConnectionOwners.java
+++ b/soak/src/main/java/org/lockdale/soak/link/ConnectionOwners.java
@@ -13,14 +13,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Which processes opened which connections, at one moment. On the loopback every process connects
- * from the same address, so connections are looked up in the system's tables of sockets. A reading
- * takes some 20 ms where the machine has ten thousand sockets; one serves all connections that wait
- * for it.
+ * A snapshot of which process opened which connection. On the loopback interface all processes
+ * connect from the same address, so owners are looked up in the system's socket tables. Reading
+ * them takes about 20 ms with ten thousand sockets; one snapshot serves all pending connections.
  */
 final class ConnectionOwners {
 
-  /** Tables of sockets; a JVM's IPv4 connections mostly stand in the second one. */
+  /** Socket tables; the IPv4 connections of a JVM are mostly listed in the second one. */
   private static final List<Path> TABLES =
       List.of(Path.of("/proc/net/tcp"), Path.of("/proc/net/tcp6"));
 
@@ -34,7 +33,12 @@
 
   private ConnectionOwners() {}
 
-  /** Reads the sockets of processes, given by name and id. */
+  /**
+   * Reads the sockets of processes.
+   *
+   * @param processes ids of the processes by name
+   * @throws IOException if a socket table cannot be read
+   */
   static ConnectionOwners read(Map<String, Long> processes) throws IOException {
     ConnectionOwners read = new ConnectionOwners();
     for (Path table : TABLES) {
@@ -53,7 +57,7 @@
         String[] fields = line.trim().split("\\s+", INODE_FIELD + 2);
         if (!fields[INODE_FIELD].equals("0")) {
           String remote = fields[REMOTE_ADDRESS_FIELD];
-          String key = portOf(fields[LOCAL_ADDRESS_FIELD]) + ">" + lastNumbersOf(remote);
+          String key = portOf(fields[LOCAL_ADDRESS_FIELD]) + ">" + ipv4AddressAndPort(remote);
           sockets.put(key, "socket:[" + fields[INODE_FIELD] + "]");
         }
       }
@@ -65,7 +69,7 @@
   }
 
   /** Returns the IPv4 part of an address and its port. */
-  private static String lastNumbersOf(String address) {
+  private static String ipv4AddressAndPort(String address) {
     return address.substring(address.indexOf(':') - IPV4_DIGITS);
   }
 
@@ -73,14 +77,14 @@
     Path descriptors = Path.of("/proc", Long.toString(id), "fd");
     try (DirectoryStream<Path> open = Files.newDirectoryStream(descriptors)) {
       for (Path descriptor : open) {
-        owners.put(target(descriptor), process);
+        owners.put(linkTarget(descriptor), process);
       }
     } catch (IOException ended) {
-      // A process that has ended has no connections.
+      // A terminated process has no connections.
     }
   }
 
-  private static String target(Path descriptor) {
+  private static String linkTarget(Path descriptor) {
     try {
       return Files.readSymbolicLink(descriptor).toString();
     } catch (IOException closedMeanwhile) {
@@ -88,8 +92,8 @@
     }
   }
 
-  /** Returns the process whose connection goes from a port to an address, or null if none does. */
-  @Nullable String of(int localPort, InetSocketAddress remote) {
+  /** Returns the process that owns the connection from a port to an address, or null if none. */
+  @Nullable String ownerOf(int localPort, InetSocketAddress remote) {
     byte[] bytes = remote.getAddress().getAddress();
     String key =
         String.format(
--- a/soak/src/main/java/org/lockdale/soak/link/LinkProxy.java
+++ b/soak/src/main/java/org/lockdale/soak/link/LinkProxy.java
@@ -37,59 +37,71 @@
 import org.lockdale.soak.standin.StallWatch;
 import org.lockdale.soak.standin.StandardStreams;
 
-/** Passes connections and datagrams between processes and harms them as told. */
+/** Forwards connections and datagrams between processes and injects faults into their links. */
 public final class LinkProxy implements Closeable {
 
-  /** How late bytes are on a delayed link; ten times a link between zones of one region. */
+  /**
+   * Delay of a link under {@link LinkTrouble#DELAYED}: ten times that between zones of a region.
+   */
   private static final long DELAY_MILLIS = 150;
 
-  /** How often the proxy looks whether it is run. */
-  private static final long LOOK_MILLIS = 50;
+  /** Interval at which the proxy checks that its event loop is scheduled. */
+  private static final long CHECK_INTERVAL_MILLIS = 50;
 
-  /** Told of what the proxy itself passes on late. */
+  /** Receives delays that the proxy itself causes. */
   @FunctionalInterface
   public interface DelayListener {
 
-    /** Takes in that a link, or all of them, was held up since a moment until now. */
+    /**
+     * Receives that a link, or all of them, was delayed until now.
+     *
+     * @param what subject of the disruption, as {@link History} defines it
+     * @param sinceMillis start of the delay, on the host's monotonic clock
+     */
     void onHeldUp(String what, long sinceMillis);
   }
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-  private final BlockingQueue<Consumer<ConnectionOwners>> waiting = new LinkedBlockingQueue<>();
-  private final Thread lookups = new Thread(this::lookUp, "connection-owners");
+  private final BlockingQueue<Consumer<ConnectionOwners>> pendingLookups =
+      new LinkedBlockingQueue<>();
+  private final Thread ownerLookup = new Thread(this::lookUpOwners, "connection-owners");
   private final AtomicInteger unknownOwners = new AtomicInteger();
   private final Map<String, Long> processes = new ConcurrentHashMap<>();
   private final Map<String, LinkState> links = new ConcurrentHashMap<>();
   private final Map<InetSocketAddress, String> datagramSenders = new ConcurrentHashMap<>();
   private final Map<String, Channel> datagramSockets = new ConcurrentHashMap<>();
 
-  private final DelayListener delays;
-  private long lookedAtMillis = StandardStreams.nowMillis();
-
-  /** Creates a proxy that passes nothing yet. */
-  public LinkProxy(DelayListener delays) {
-    this.delays = delays;
-    lookups.setDaemon(true);
-    lookups.start();
-    group.scheduleAtFixedRate(this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+  private final DelayListener delayListener;
+  private long lastCheckMillis = StandardStreams.nowMillis();
+
+  /** Creates a proxy that listens at no address yet. */
+  public LinkProxy(DelayListener delayListener) {
+    this.delayListener = delayListener;
+    ownerLookup.setDaemon(true);
+    ownerLookup.start();
+    group.scheduleAtFixedRate(
+        this::checkEventLoopDelay,
+        CHECK_INTERVAL_MILLIS,
+        CHECK_INTERVAL_MILLIS,
+        TimeUnit.MILLISECONDS);
   }
 
-  /** Notices when the event loop that passes all bytes was not run in time. */
-  private void look() {
+  /** Reports a delay if the event loop, which forwards all bytes, was not scheduled in time. */
+  private void checkEventLoopDelay() {
     long now = StandardStreams.nowMillis();
-    if (now - lookedAtMillis > LOOK_MILLIS + StallWatch.STALL_MILLIS) {
-      delays.onHeldUp(History.PROXY, lookedAtMillis);
+    if (now - lastCheckMillis > CHECK_INTERVAL_MILLIS + StallWatch.STALL_MILLIS) {
+      delayListener.onHeldUp(History.PROXY, lastCheckMillis);
     }
-    lookedAtMillis = now;
+    lastCheckMillis = now;
   }
 
-  private void lookUp() {
+  private void lookUpOwners() {
     List<Consumer<ConnectionOwners>> connections = new ArrayList<>();
     try {
       while (true) {
-        connections.add(waiting.take());
-        waiting.drainTo(connections);
+        connections.add(pendingLookups.take());
+        pendingLookups.drainTo(connections);
         ConnectionOwners owners = ConnectionOwners.read(processes);
         connections.forEach(connection -> connection.accept(owners));
         connections.clear();
@@ -101,21 +113,23 @@
     }
   }
 
-  /** Returns the number of connections whose process was not found; no trouble reaches them. */
+  /** Returns the number of connections whose process was not found; they get no faults. */
   public int unknownOwners() {
     return unknownOwners.get();
   }
 
-  /** Tells the proxy the id of a process, so that its connections are known. */
+  /** Sets the id of a process, by which the proxy finds its connections. */
   public void setProcess(String name, long processId) {
     processes.put(name, processId);
   }
 
   /**
-   * Listens at an address and passes connections on to a process.
+   * Listens at an address and forwards connections to a process.
    *
-   * @param source the only process that knows the address, or null if any may connect
-   * @param destination process that connections are passed on to
+   * @param source the only process that connects to the address, or null if any may
+   * @param destination process that connections are forwarded to
+   * @param proxied address to listen at
+   * @param real address of the destination
    */
   public void listen(
       @Nullable String source,
@@ -128,12 +142,14 @@
         .option(ChannelOption.SO_REUSEADDR, true)
         .childOption(ChannelOption.AUTO_READ, false)
         .childOption(ChannelOption.TCP_NODELAY, true)
-        .childHandler(new Accepting(source, destination, real))
+        .childHandler(new ConnectionAcceptor(source, destination, real))
         .bind(proxied)
         .syncUninterruptibly();
   }
 
-  /** Passes datagrams on to a process, and those it sends on to others from its proxied address. */
+  /**
+   * Forwards datagrams to a process, and those that it sends to others from its proxied address.
+   */
   public void listenForDatagrams(
       String process, InetSocketAddress proxied, InetSocketAddress real) {
     datagramSenders.put(real, process);
@@ -141,16 +157,21 @@
         new Bootstrap()
             .group(group)
             .channel(NioDatagramChannel.class)
-            .handler(new PassingDatagrams(process, real))
+            .handler(new DatagramForwarder(process, real))
             .bind(proxied)
             .syncUninterruptibly()
             .channel();
     datagramSockets.put(process, socket);
   }
 
-  /** Brings trouble on the links between processes, of which one or both may be any. */
+  /**
+   * Injects a fault into the links between processes.
+   *
+   * @param source process that connects
+   * @param destination process that listens, or {@link Deployment#ANY}
+   */
   public void harm(String source, String destination, LinkTrouble trouble) {
-    forLinks(
+    forEachLink(
         source,
         destination,
         link -> {
@@ -164,9 +185,9 @@
         });
   }
 
-  /** Ends trouble; what was reset or silenced stays so. */
+  /** Removes a fault; connections that were reset or silenced stay so. */
   public void heal(String source, String destination, LinkTrouble trouble) {
-    forLinks(
+    forEachLink(
         source,
         destination,
         link -> {
@@ -181,7 +202,7 @@
         });
   }
 
-  private void forLinks(String source, String destination, Consumer<LinkState> action) {
+  private void forEachLink(String source, String destination, Consumer<LinkState> action) {
     if (!destination.equals(Deployment.ANY)) {
       action.accept(link(source, destination));
       return;
@@ -198,13 +219,13 @@
     return links.computeIfAbsent(source + ">" + destination, name -> new LinkState());
   }
 
-  private final class Accepting extends ChannelInitializer<Channel> {
+  private final class ConnectionAcceptor extends ChannelInitializer<Channel> {
 
     private final @Nullable String source;
     private final String destination;
     private final InetSocketAddress real;
 
-    Accepting(@Nullable String source, String destination, InetSocketAddress real) {
+    ConnectionAcceptor(@Nullable String source, String destination, InetSocketAddress real) {
       this.source = source;
       this.destination = destination;
       this.real = real;
@@ -213,16 +234,16 @@
     @Override
     protected void initChannel(Channel accepted) {
       long acceptedAtMillis = StandardStreams.nowMillis();
-      accepted.pipeline().addLast(new FailureHandler());
+      accepted.pipeline().addLast(new CloseOnFailureHandler());
       if (source != null) {
         accepted.eventLoop().execute(() -> connect(accepted, source, acceptedAtMillis));
         return;
       }
       int port = ((InetSocketAddress) accepted.remoteAddress()).getPort();
       InetSocketAddress local = (InetSocketAddress) accepted.localAddress();
-      waiting.add(
+      pendingLookups.add(
           owners -> {
-            String owner = owners.of(port, local);
+            String owner = owners.ownerOf(port, local);
             if (owner == null) {
               unknownOwners.incrementAndGet();
             }
@@ -231,10 +252,10 @@
           });
     }
 
-    /** Looking up whose connection it is takes long on a busy machine. */
-    private void connected(String owner, long acceptedAtMillis) {
+    /** Reports a delay if looking up the owner took long, as on a busy machine. */
+    private void reportLateConnection(String owner, long acceptedAtMillis) {
       if (StandardStreams.nowMillis() - acceptedAtMillis > StallWatch.STALL_MILLIS) {
-        delays.onHeldUp(History.linkHeldUp(owner, destination), acceptedAtMillis);
+        delayListener.onHeldUp(History.linkHeldUp(owner, destination), acceptedAtMillis);
       }
     }
 
@@ -246,13 +267,13 @@
               .channel(NioSocketChannel.class)
               .option(ChannelOption.AUTO_READ, false)
               .option(ChannelOption.TCP_NODELAY, true)
-              .handler(new FailureHandler())
+              .handler(new CloseOnFailureHandler())
               .connect(real);
       connecting.addListener(
           connected -> {
-            connected(owner, acceptedAtMillis);
+            reportLateConnection(owner, acceptedAtMillis);
             if (connected.isSuccess()) {
-              new Relay(link, accepted, connecting.channel()).start();
+              new ProxiedConnection(link, accepted, connecting.channel()).start();
             } else {
               accepted.config().setOption(ChannelOption.SO_LINGER, 0);
               accepted.close();
@@ -261,8 +282,11 @@
     }
   }
 
-  /** Stands before a relay's handlers, which tell the other side of failures themselves. */
-  private static final class FailureHandler extends ChannelInboundHandlerAdapter {
+  /**
+   * Closes a channel on failure. It precedes the handlers of a proxied connection, which propagate
+   * failures to the other side.
+   */
+  private static final class CloseOnFailureHandler extends ChannelInboundHandlerAdapter {
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
@@ -271,12 +295,12 @@
     }
   }
 
-  private final class PassingDatagrams extends SimpleChannelInboundHandler<DatagramPacket> {
+  private final class DatagramForwarder extends SimpleChannelInboundHandler<DatagramPacket> {
 
     private final String process;
     private final InetSocketAddress real;
 
-    PassingDatagrams(String process, InetSocketAddress real) {
+    DatagramForwarder(String process, InetSocketAddress real) {
       this.process = process;
       this.real = real;
     }
@@ -292,22 +316,23 @@
       if (link.isCut(true) || opposite.isCut(false)) {
         return;
       }
-      DatagramPacket passed = new DatagramPacket(packet.content().retain(), real);
+      DatagramPacket forwarded = new DatagramPacket(packet.content().retain(), real);
       Channel socket = datagramSockets.get(sender);
       context
           .executor()
-          .schedule(() -> socket.writeAndFlush(passed), link.delayMillis(), TimeUnit.MILLISECONDS);
+          .schedule(
+              () -> socket.writeAndFlush(forwarded), link.delayMillis(), TimeUnit.MILLISECONDS);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      // A datagram to a process that has ended comes back as an error; datagrams may be lost.
+      // A datagram to a terminated process is reported as an error; datagrams may be lost.
     }
   }
 
   @Override
   public void close() {
-    lookups.interrupt();
+    ownerLookup.interrupt();
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 }
--- a/soak/src/main/java/org/lockdale/soak/link/LinkState.java
+++ b/soak/src/main/java/org/lockdale/soak/link/LinkState.java
@@ -3,50 +3,50 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** How a link from one process to another behaves now. Thread-safe. */
+/** The present faults and the connections of a link between two processes. Thread-safe. */
 final class LinkState {
 
-  private final Set<Relay> relays = ConcurrentHashMap.newKeySet();
+  private final Set<ProxiedConnection> connections = ConcurrentHashMap.newKeySet();
   private volatile long delayMillis;
-  private volatile boolean cutForth;
-  private volatile boolean cutBack;
+  private volatile boolean outboundCut;
+  private volatile boolean inboundCut;
 
   long delayMillis() {
     return delayMillis;
   }
 
-  /** Returns whether bytes towards the destination, or back, are held up. */
-  boolean isCut(boolean forth) {
-    return forth ? cutForth : cutBack;
+  /** Returns whether bytes to the destination, or those back to the source, are held up. */
+  boolean isCut(boolean outbound) {
+    return outbound ? outboundCut : inboundCut;
   }
 
   void setDelay(long millis) {
     delayMillis = millis;
-    relays.forEach(Relay::resume);
+    connections.forEach(ProxiedConnection::resume);
   }
 
-  void setCut(boolean forth, boolean cut) {
-    if (forth) {
-      cutForth = cut;
+  void setCut(boolean outbound, boolean cut) {
+    if (outbound) {
+      outboundCut = cut;
     } else {
-      cutBack = cut;
+      inboundCut = cut;
     }
-    relays.forEach(Relay::resume);
+    connections.forEach(ProxiedConnection::resume);
   }
 
   void reset() {
-    relays.forEach(Relay::reset);
+    connections.forEach(ProxiedConnection::reset);
   }
 
   void silence() {
-    relays.forEach(Relay::silence);
+    connections.forEach(ProxiedConnection::silence);
   }
 
-  void add(Relay relay) {
-    relays.add(relay);
+  void add(ProxiedConnection connection) {
+    connections.add(connection);
   }
 
-  void remove(Relay relay) {
-    relays.remove(relay);
+  void remove(ProxiedConnection connection) {
+    connections.remove(connection);
   }
 }
--- a/soak/src/main/java/org/lockdale/soak/link/Relay.java
+++ b/soak/src/main/java/org/lockdale/soak/link/ProxiedConnection.java
@@ -11,50 +11,48 @@
 import java.util.concurrent.TimeUnit;
 import org.jspecify.annotations.Nullable;
 
-/** One proxied connection. All state belongs to the event loop that both channels share. */
-final class Relay {
+/** A proxied connection. All state is confined to the event loop that both channels share. */
+final class ProxiedConnection {
 
-  /**
-   * Bytes that wait in one direction before the relay stops reading, as a socket's buffer would.
-   */
-  private static final int MOST_WAITING_BYTES = 256 * 1024;
+  /** Queued bytes in one direction at which reading stops; the queue acts as a socket buffer. */
+  private static final int MAX_QUEUED_BYTES = 256 * 1024;
 
   private final LinkState link;
   private final Channel source;
   private final Channel destination;
-  private final Direction forth;
-  private final Direction back;
-  private boolean silent;
+  private final Direction outbound;
+  private final Direction inbound;
+  private boolean silenced;
 
-  Relay(LinkState link, Channel source, Channel destination) {
+  ProxiedConnection(LinkState link, Channel source, Channel destination) {
     this.link = link;
     this.source = source;
     this.destination = destination;
-    forth = new Direction(true, source, destination);
-    back = new Direction(false, destination, source);
+    outbound = new Direction(true, source, destination);
+    inbound = new Direction(false, destination, source);
   }
 
-  /** Begins to pass bytes on. */
+  /** Starts forwarding bytes. */
   void start() {
     link.add(this);
     source.closeFuture().addListener(closed -> link.remove(this));
-    source.pipeline().addLast(forth);
-    destination.pipeline().addLast(back);
-    destination.closeFuture().addListener(closed -> forth.discard());
-    source.closeFuture().addListener(closed -> back.discard());
+    source.pipeline().addLast(outbound);
+    destination.pipeline().addLast(inbound);
+    destination.closeFuture().addListener(closed -> outbound.discard());
+    source.closeFuture().addListener(closed -> inbound.discard());
     source.config().setAutoRead(true);
     destination.config().setAutoRead(true);
   }
 
-  /** Goes on after the link's behaviour has changed. */
+  /** Resumes forwarding after the faults of the link have changed. */
   void resume() {
-    source.eventLoop().execute(forth::drain);
-    source.eventLoop().execute(back::drain);
+    source.eventLoop().execute(outbound::forwardDue);
+    source.eventLoop().execute(inbound::forwardDue);
   }
 
-  /** Passes nothing on any more and closes nothing. */
+  /** Stops forwarding for good, without closing either end. */
   void silence() {
-    source.eventLoop().execute(() -> silent = true);
+    source.eventLoop().execute(() -> silenced = true);
   }
 
   /** Closes both ends with a reset. */
@@ -73,20 +71,26 @@
     channel.close();
   }
 
-  /** Bytes, or the end of the connection where there are none, and when they may pass. */
-  private record Waiting(@Nullable ByteBuf bytes, boolean reset, long dueNanos) {}
+  /**
+   * Bytes to forward, or the end of the connection.
+   *
+   * @param bytes bytes, or null for the end of the connection
+   * @param reset whether the connection ends by a reset
+   * @param dueNanos when to forward it, as by {@link System#nanoTime}
+   */
+  private record QueuedEvent(@Nullable ByteBuf bytes, boolean reset, long dueNanos) {}
 
   private final class Direction extends ChannelInboundHandlerAdapter {
 
-    private final boolean isForth;
+    private final boolean isOutbound;
     private final Channel from;
     private final Channel to;
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
-    private int waitingBytes;
+    private final Deque<QueuedEvent> queue = new ArrayDeque<>();
+    private int queuedBytes;
     private boolean failed;
 
     Direction(boolean isForth, Channel from, Channel to) {
-      this.isForth = isForth;
+      this.isOutbound = isForth;
       this.from = from;
       this.to = to;
     }
@@ -94,13 +98,13 @@
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
       ByteBuf bytes = (ByteBuf) message;
-      if (silent || !to.isActive()) {
+      if (silenced || !to.isActive()) {
         bytes.release();
         return;
       }
-      waitingBytes += bytes.readableBytes();
-      from.config().setAutoRead(waitingBytes < MOST_WAITING_BYTES);
-      add(bytes);
+      queuedBytes += bytes.readableBytes();
+      from.config().setAutoRead(queuedBytes < MAX_QUEUED_BYTES);
+      enqueue(bytes);
     }
 
     @Override
@@ -111,37 +115,37 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      add(null);
+      enqueue(null);
     }
 
-    private void add(@Nullable ByteBuf bytes) {
+    private void enqueue(@Nullable ByteBuf bytes) {
       long due = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(link.delayMillis());
-      waiting.add(new Waiting(bytes, failed, due));
-      drain();
+      queue.add(new QueuedEvent(bytes, failed, due));
+      forwardDue();
     }
 
-    /** Drops what waits for a channel that has closed. */
+    /** Releases what is queued for a channel that has closed. */
     void discard() {
-      for (Waiting next : waiting) {
+      for (QueuedEvent next : queue) {
         if (next.bytes() != null) {
           next.bytes().release();
         }
       }
-      waiting.clear();
+      queue.clear();
     }
 
-    void drain() {
-      while (!waiting.isEmpty() && !silent && !link.isCut(isForth)) {
-        long left = waiting.peek().dueNanos() - System.nanoTime();
-        if (left > 0) {
-          to.eventLoop().schedule(this::drain, left, TimeUnit.NANOSECONDS);
+    void forwardDue() {
+      while (!queue.isEmpty() && !silenced && !link.isCut(isOutbound)) {
+        long remaining = queue.peek().dueNanos() - System.nanoTime();
+        if (remaining > 0) {
+          to.eventLoop().schedule(this::forwardDue, remaining, TimeUnit.NANOSECONDS);
           return;
         }
-        pass(waiting.remove());
+        forward(queue.remove());
       }
     }
 
-    private void pass(Waiting next) {
+    private void forward(QueuedEvent next) {
       ByteBuf bytes = next.bytes();
       if (bytes == null) {
         if (next.reset()) {
@@ -151,9 +155,9 @@
         }
         return;
       }
-      waitingBytes -= bytes.readableBytes();
+      queuedBytes -= bytes.readableBytes();
       to.writeAndFlush(bytes).addListener(ChannelFutureListener.CLOSE_ON_FAILURE);
-      if (waitingBytes < MOST_WAITING_BYTES) {
+      if (queuedBytes < MAX_QUEUED_BYTES) {
         from.config().setAutoRead(true);
       }
     }
--- a/soak/src/main/java/org/lockdale/soak/link/package-info.java
+++ b/soak/src/main/java/org/lockdale/soak/link/package-info.java
@@ -1,4 +1,4 @@
-/** A loopback proxy between the processes of a run, by which links are harmed. */
+/** A loopback proxy between the processes of a run, which injects faults into their links. */
 @NullMarked
 package org.lockdale.soak.link;
 
--- a/soak/src/test/java/org/lockdale/soak/link/LinkProxyTest.java
+++ b/soak/src/test/java/org/lockdale/soak/link/LinkProxyTest.java
@@ -15,13 +15,13 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Links are harmed as told, and only those named. */
+/** Checks that faults are injected into the given links and no others. */
 public final class LinkProxyTest {
 
   private static final String SERVER = "server";
   private static final int PATIENCE_MILLIS = 10_000;
 
-  /** Long enough for an answer over a sound link; only its absence depends on it. */
+  /** Time without a response after which a link counts as silent; a working one needs less. */
   private static final int SILENCE_MILLIS = 300;
 
   private LinkProxy proxy;
@@ -57,11 +57,11 @@
 
   private static String call(RawCaller caller) throws IOException {
     caller.setPatience(PATIENCE_MILLIS);
-    ask(caller);
+    sendRequest(caller);
     return caller.read().body();
   }
 
-  private static void ask(RawCaller caller) throws IOException {
+  private static void sendRequest(RawCaller caller) throws IOException {
     caller.send("GET /x HTTP/1.1\r\nHost: server\r\n\r\n");
   }
 
@@ -87,7 +87,7 @@
       server.received().clear();
       try (RawCaller caller = open()) {
         harm(cut);
-        ask(caller);
+        sendRequest(caller);
         caller.setPatience(SILENCE_MILLIS);
         assertThrows(SocketTimeoutException.class, caller::read);
         assertEquals(server.received().size(), cut == LinkTrouble.CUT_FORTH ? 1 : 2);
@@ -115,7 +115,7 @@
       harm(LinkTrouble.SILENCED);
       heal(LinkTrouble.SILENCED);
       caller.setPatience(SILENCE_MILLIS);
-      ask(caller);
+      sendRequest(caller);
       assertThrows(SocketTimeoutException.class, caller::read);
       open().close();
     }
@@ -126,9 +126,9 @@
     try (RawCaller caller = open()) {
       harm(LinkTrouble.DELAYED);
       assertEquals(call(caller), "echo");
-      ask(caller);
+      sendRequest(caller);
       heal(LinkTrouble.DELAYED);
-      ask(caller);
+      sendRequest(caller);
       assertEquals(caller.read().body(), "echo");
       assertEquals(caller.read().body(), "echo");
     }
