--- a/soak/src/main/java/org/lockdale/soak/plan/Deployment.java
+++ b/soak/src/main/java/org/lockdale/soak/plan/Deployment.java
@@ -13,7 +13,7 @@
  */
 public record Deployment(int nodes, int engines, int plains) {
 
-  /** Stands for every process at one end of a link. */
+  /** Matches every process at one end of a link. */
   public static final String ANY = "*";
 
   /** Name of the store. */
@@ -25,14 +25,20 @@
   /** Name of the callers' end of a link. */
   public static final String CALLERS = "callers";
 
-  /** Checks the sizes. */
+  /**
+   * Creates a deployment.
+   *
+   * @throws IllegalArgumentException if a number is less than 1
+   */
   public Deployment {
     if (nodes < 1 || engines < 1 || plains < 1) {
-      throw new IllegalArgumentException("a deployment has at least one process of each kind");
+      throw new IllegalArgumentException("a deployment needs at least one process of each kind");
     }
   }
 
-  /** Returns ten processes: three nodes before three engines and two plain servers. */
+  /**
+   * Returns ten processes: three nodes, three engines, a server of each plain service, the stores.
+   */
   public static Deployment small() {
     return new Deployment(3, 3, 1);
   }
--- a/soak/src/main/java/org/lockdale/soak/plan/Fault.java
+++ b/soak/src/main/java/org/lockdale/soak/plan/Fault.java
@@ -2,51 +2,51 @@
 
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
-/** Something that is done to the deployment from outside. */
+/** A fault or change that a run injects into its deployment. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "fault")
 public sealed interface Fault {
 
-  /** How a link misbehaves. */
+  /** Faults of a link. */
   enum LinkTrouble {
     /** Bytes arrive late. */
     DELAYED,
     /** Open connections are reset. */
     RESET,
-    /** Nothing passes from the source to the destination. */
+    /** Nothing is forwarded from the source to the destination. */
     CUT_FORTH,
-    /** Nothing passes from the destination to the source. */
+    /** Nothing is forwarded from the destination to the source. */
     CUT_BACK,
-    /** Open connections pass nothing any more, for good, while new ones work. */
+    /** Open connections stop forwarding for good without being closed, while new ones work. */
     SILENCED
   }
 
-  /** How the store misbehaves. */
+  /** Faults of the store. */
   enum StoreTrouble {
-    /** Calls are answered 503. */
+    /** Calls get status 503. */
     DOWN,
-    /** Calls are not answered. */
+    /** Calls get no response. */
     SILENT,
-    /** Calls are answered 429. */
+    /** Calls get status 429. */
     THROTTLED,
-    /** Changes so far are forgotten. */
+    /** All previous changes are lost. */
     FORGETFUL,
     /** The store's process is paused. */
     PAUSED
   }
 
-  /** What a process suffers. */
+  /** Faults of a process. */
   enum ProcessTrouble {
     /** Stopped by SIGSTOP for a while. */
     PAUSED,
-    /** Ended by SIGKILL and started again after a while. */
+    /** Killed by SIGKILL and started again after a while. */
     KILLED,
-    /** Ended by SIGTERM and started again after a while. */
+    /** Terminated by SIGTERM and started again after a while. */
     RESTARTED,
-    /** Told by SIGHUP that its settings changed. */
+    /** Made to reload its settings by SIGHUP. */
     TOLD_TO_RELOAD
   }
 
-  /** What the operator changes. */
+  /** Changes by the operator. */
   enum OperatorChange {
     /** One tenant's key is replaced. */
     KEY_REPLACED,
@@ -56,63 +56,68 @@
     ROUTE_ADDED,
     /** The route added last is removed. */
     ROUTE_REMOVED,
-    /** Newer weights are named. */
+    /** Newer weights become the target version. */
     WEIGHTS_NAMED
   }
 
   /**
-   * Trouble on the links between two processes.
+   * A fault of the links between two processes.
    *
    * @param source process that connects, or {@link Deployment#ANY}
    * @param destination process that listens, or {@link Deployment#ANY}
-   * @param lastsMillis how long the trouble lasts, in milliseconds
+   * @param lastsMillis duration of the fault, in milliseconds
    */
   record OnLink(String source, String destination, LinkTrouble trouble, long lastsMillis)
       implements Fault {}
 
-  /** Trouble of a process, which lasts so many milliseconds. */
+  /** A fault of a process, with its duration in milliseconds. */
   record OnProcess(String process, ProcessTrouble trouble, long lastsMillis) implements Fault {}
 
-  /** Trouble of the store, which lasts so many milliseconds. */
+  /** A fault of the store, with its duration in milliseconds. */
   record OnStore(StoreTrouble trouble, long lastsMillis) implements Fault {}
 
   /** A change by the operator. */
   record ByOperator(OperatorChange change) implements Fault {}
 
   /**
-   * Another writer puts an entry into the servers' table that names no server to use.
+   * Another writer puts an entry into the servers' table that describes no usable server.
    *
    * @param key key of the entry
-   * @param value what it holds, without spaces
-   * @param lastsMillis how long it stands, in milliseconds
+   * @param value value of the entry, without spaces
+   * @param lastsMillis time until the entry is removed, in milliseconds
    */
   record ForeignEntry(String key, String value, long lastsMillis) implements Fault {}
 
   /**
-   * A server in need names in its answers the rate that it takes from all nodes together.
+   * A server advertises in its responses a rate limit for all nodes together.
    *
-   * @param perSecond requests a second
-   * @param lastsMillis for how long it does so, in milliseconds
+   * @param perSecond limit in requests per second
+   * @param lastsMillis time for which it advertises the limit, in milliseconds
    */
   record RateNamed(String server, double perSecond, long lastsMillis) implements Fault {}
 
   /**
-   * A server says in its answers that it leaves, and its record says so only later; then it leaves.
+   * A server announces in its responses that it is draining; only later does its record in the
+   * store show this, and then the server terminates.
    *
-   * @param unrecordedMillis time until its record says so, in milliseconds
+   * @param unrecordedMillis time until its record shows that it is draining, in milliseconds
    */
   record LeavingSaid(String server, long unrecordedMillis) implements Fault {}
 
   /**
-   * A server turns requests away and asks their nodes for rest.
+   * A server rejects requests and requests a backoff from their nodes.
    *
-   * @param restMillis rest that it asks for, in milliseconds
-   * @param share part of its requests that it turns away, 0 to 1
-   * @param lastsMillis for how long it does so, in milliseconds
+   * @param restMillis requested backoff, in milliseconds
+   * @param share fraction of its requests that it rejects, 0 to 1
+   * @param lastsMillis time for which it does so, in milliseconds
    */
   record RestWanted(String server, long restMillis, double share, long lastsMillis)
       implements Fault {}
 
-  /** A server leaves as planned, after having said so or not, and another takes its place. */
+  /**
+   * A server is shut down as planned and replaced by another.
+   *
+   * @param announced whether the server announces that it is draining before
+   */
   record ServerReplaced(String server, boolean announced) implements Fault {}
 }
--- a/soak/src/main/java/org/lockdale/soak/plan/PlannedFault.java
+++ b/soak/src/main/java/org/lockdale/soak/plan/PlannedFault.java
@@ -1,8 +1,8 @@
 package org.lockdale.soak.plan;
 
 /**
- * A fault and when it comes.
+ * A fault and its time.
  *
- * @param atMillis time since the run's start, in milliseconds
+ * @param atMillis time since the start of the run, in milliseconds
  */
 public record PlannedFault(long atMillis, Fault fault) {}
--- a/soak/src/main/java/org/lockdale/soak/plan/package-info.java
+++ b/soak/src/main/java/org/lockdale/soak/plan/package-info.java
@@ -1,4 +1,4 @@
-/** Plans of faults and changes, drawn from a seed; without I/O. */
+/** Draws plans of faults and changes from a seed. Does no I/O. */
 @NullMarked
 package org.lockdale.soak.plan;
 
--- a/soak/src/test/java/org/lockdale/soak/plan/FaultPlanTest.java
+++ b/soak/src/test/java/org/lockdale/soak/plan/FaultPlanTest.java
@@ -9,7 +9,9 @@
 import java.util.stream.LongStream;
 import org.testng.annotations.Test;
 
-/** Plans are repeatable, leave quiet ends, and bring every kind of fault. */
+/**
+ * Checks that plans are reproducible, leave time without faults, and contain all kinds of fault.
+ */
 public final class FaultPlanTest {
 
   private static final long MINUTE_MILLIS = 60_000;
