--- a/soak/src/main/java/org/lockdale/soak/judge/LoadRules.java
+++ b/soak/src/main/java/org/lockdale/soak/judge/LoadRules.java
@@ -177,7 +177,7 @@
               new RuleBreak(
                   "BUDGET",
                   request.id(),
-                  "the server got " + given + " ms of " + sent.deadlineMillis() + " ms"));
+                  "time limit in ms: " + given + ", the caller waits " + sent.deadlineMillis()));
         }
       }
     }
--- a/soak/src/main/java/org/lockdale/soak/judge/ResponseRules.java
+++ b/soak/src/main/java/org/lockdale/soak/judge/ResponseRules.java
@@ -91,7 +91,7 @@
       ended = piece.last();
     }
     return response.whole() && !ended
-        ? "complete, but event " + previous + " is not the last one"
+        ? "complete without its last event, after event " + previous
         : null;
   }
 
