--- a/soak/src/main/java/org/lockdale/soak/link/LinkState.java
+++ b/soak/src/main/java/org/lockdale/soak/link/LinkState.java
@@ -15,7 +15,7 @@
     return delayMillis;
   }
 
-  /** Returns whether bytes to the destination, or those back to the source, are held up. */
+  /** Returns whether bytes to the destination, or those back to the source, are blocked. */
   boolean isCut(boolean outbound) {
     return outbound ? outboundCut : inboundCut;
   }
--- a/soak/src/test/java/org/lockdale/soak/judge/JudgeTest.java
+++ b/soak/src/test/java/org/lockdale/soak/judge/JudgeTest.java
@@ -43,7 +43,7 @@
   }
 
   @Test
-  public void aSoundHistoryBreaksNothing() {
+  public void validHistoryHasNoViolations() {
     HistoryBuilder history = new HistoryBuilder();
     int number = 0;
     for (RequestKind kind : RequestKind.values()) {
@@ -53,7 +53,7 @@
   }
 
   @DataProvider
-  public static Object[][] wrongHistories() {
+  public static Object[][] invalidHistories() {
     return new Object[][] {
       {"TWICE", "an unsafe request runs twice", ranTwice(RequestKind.UNSAFE)},
       {"TWICE", "a stream that may not be resumed runs twice", ranTwice(RequestKind.STREAM)},
@@ -138,13 +138,13 @@
     };
   }
 
-  @Test(dataProvider = "wrongHistories")
-  public void aWrongHistoryIsCaught(String rule, String what, HistoryBuilder history) {
+  @Test(dataProvider = "invalidHistories")
+  public void violationIsDetected(String rule, String what, HistoryBuilder history) {
     assertEquals(history.violatedRules(), List.of(rule), what);
   }
 
   @DataProvider
-  public static Object[][] rightHistories() {
+  public static Object[][] validHistories() {
     return new Object[][] {
       {"a safe request may run twice", ranTwice(RequestKind.SAFE)},
       {"a resumable stream may run twice", ranTwice(RequestKind.RESUMABLE)},
@@ -195,8 +195,8 @@
     };
   }
 
-  @Test(dataProvider = "rightHistories")
-  public void aRightHistoryPasses(String what, HistoryBuilder history) {
+  @Test(dataProvider = "validHistories")
+  public void validHistoryPasses(String what, HistoryBuilder history) {
     assertEquals(history.violatedRules(), List.of(), what);
   }
 
--- a/soak/src/test/java/org/lockdale/soak/judge/LateArrivalTest.java
+++ b/soak/src/test/java/org/lockdale/soak/judge/LateArrivalTest.java
@@ -41,19 +41,19 @@
   }
 
   @Test
-  public void aLateArrivalIsTheNodesUnlessTheSoakItselfWasLate() {
+  public void lateArrivalsAreAViolation() {
     assertEquals(lateArrivals().violatedRules(), VIOLATED);
   }
 
   @Test
-  public void whatTheProxyOrTheServerHeldUpIsNotTheNodes() {
+  public void delaysByTheProxyOrTheServerAreExcused() {
     assertEquals(violationsWhenHeldUp(T + 20, T + 690, "node-1>" + SERVER), List.of());
     assertEquals(violationsWhenHeldUp(T + 20, T + 690, History.PROXY), List.of());
     assertEquals(violationsWhenHeldUp(T + 20, T + 690, History.stalled(SERVER)), List.of());
   }
 
   @Test
-  public void whatWasHeldUpElsewhereOrAtAnotherTimeExcusesNothing() {
+  public void delaysElsewhereOrAtAnotherTimeAreNotExcused() {
     assertEquals(violationsWhenHeldUp(T + 20, T + 690, "node-2>" + SERVER), VIOLATED);
     assertEquals(violationsWhenHeldUp(T + 20, T + 690, "node-1>another"), VIOLATED);
     assertEquals(violationsWhenHeldUp(T - 900, T - 200, "node-1>" + SERVER), VIOLATED);
--- a/soak/src/test/java/org/lockdale/soak/judge/RateRulesTest.java
+++ b/soak/src/test/java/org/lockdale/soak/judge/RateRulesTest.java
@@ -37,13 +37,13 @@
   }
 
   @Test
-  public void moreThanIsBorneInFourSecondsIsRefused() {
+  public void moreThanAllowedInFourSecondsIsAViolation() {
     assertEquals(violatesLimit(history(17)), false);
     assertEquals(violatesLimit(history(18)), true);
   }
 
   @Test
-  public void nodesThatWereNotToldOrWereDisruptedAreNotBound() {
+  public void uninformedOrDisruptedNodesAreNotBound() {
     assertEquals(
         violatesLimit(history(18).add(new Note.DisruptionBegan(T + 500, 7, "node-1", false))),
         false);
@@ -61,7 +61,7 @@
    * former rate must not be applied to them.
    */
   @Test
-  public void whatWasToldBeforeAPauseBindsNobodyAfterIt() {
+  public void ratesFromBeforeAPauseDoNotApplyAfterIt() {
     HistoryBuilder history = new HistoryBuilder();
     history.add(new Note.RateNamed(T - 50_000, SERVER, 2.0));
     history.add(new Note.RateNamed(T - 40_000, SERVER, null));
@@ -80,7 +80,7 @@
   }
 
   @Test
-  public void aServerThatNamesNoRateAnyMoreIsNotCounted() {
+  public void withdrawnRatesAreNotChecked() {
     assertEquals(
         violatesLimit(history(18).add(new Note.RateNamed(T + 2_000, SERVER, null))), false);
   }
--- a/soak/src/test/java/org/lockdale/soak/judge/StatementRulesTest.java
+++ b/soak/src/test/java/org/lockdale/soak/judge/StatementRulesTest.java
@@ -35,7 +35,7 @@
   }
 
   @Test
-  public void whatComesLaterThanTheBoundAfterTheAnswerIsRefused() {
+  public void requestsSentAfterTheBoundAreAViolation() {
     assertEquals(
         violatesDrain(withLaterRequest(draining(true), "node-1", T + 2_000, T + 2_900)), false);
     assertEquals(
@@ -43,7 +43,7 @@
   }
 
   @Test
-  public void aNodeThatPassedNoSuchAnswerOnIsNotBound() {
+  public void nodesWithoutAForwardedAnnouncementAreNotBound() {
     assertEquals(
         violatesDrain(withLaterRequest(draining(false), "node-1", T + 5_000, T + 5_010)), false);
     assertEquals(
@@ -51,7 +51,7 @@
   }
 
   @Test
-  public void aRestartOrAFreezeExcusesALeavingAndACutDoesNot() {
+  public void restartsAndPausesExcuseADrainViolationButPartitionsDoNot() {
     HistoryBuilder frozen = withLaterRequest(draining(true), "node-1", T + 5_000, T + 5_010);
     assertEquals(
         violatesDrain(frozen.add(new Note.DisruptionBegan(T + 500, 7, "node-1", false))), false);
@@ -80,19 +80,19 @@
   }
 
   @Test
-  public void moreThanTwoRequestsInARestAreRefused() {
+  public void moreThanTwoRequestsInABackoffAreAViolation() {
     assertEquals(violatesBudget(backingOff(2, 1_000)), false);
     assertEquals(violatesBudget(backingOff(3, 1_000)), true);
   }
 
   @Test
-  public void whatComesAtOnceOrAfterTheRestIsNotCounted() {
+  public void requestsSentAtOnceOrAfterTheBackoffAreNotCounted() {
     assertEquals(violatesBudget(backingOff(9, 499)), false);
     assertEquals(violatesBudget(backingOff(9, 3_000)), false);
   }
 
   @Test
-  public void aCutExcusesARest() {
+  public void partitionsExcuseABackoffViolation() {
     HistoryBuilder cut =
         backingOff(3, 1_000).add(new Note.DisruptionBegan(T + 100, 7, "node-1", true));
     assertEquals(violatesBudget(cut), false);
--- a/soak/src/test/java/org/lockdale/soak/link/LinkProxyTest.java
+++ b/soak/src/test/java/org/lockdale/soak/link/LinkProxyTest.java
@@ -74,7 +74,7 @@
   }
 
   @Test
-  public void anotherProcessesTroubleIsNotOurs() throws IOException {
+  public void faultsOfOtherLinksHaveNoEffect() throws IOException {
     try (RawCaller caller = open()) {
       proxy.harm("node-1", SERVER, LinkTrouble.CUT_FORTH);
       assertEquals(call(caller), "echo");
@@ -82,7 +82,7 @@
   }
 
   @Test
-  public void aCutHoldsBytesUpUntilItIsHealed() throws IOException {
+  public void partitionHoldsBytesUpUntilItIsRemoved() throws IOException {
     for (LinkTrouble cut : new LinkTrouble[] {LinkTrouble.CUT_FORTH, LinkTrouble.CUT_BACK}) {
       server.received().clear();
       try (RawCaller caller = open()) {
