--- a/soak/src/test/java/org/lockdale/soak/judge/RateRulesTest.java
+++ b/soak/src/test/java/org/lockdale/soak/judge/RateRulesTest.java
@@ -56,7 +56,7 @@
   }
 
   /**
-   * A server advertised a rate again 13 s after it had stopped to, and nothing was sent to it in
+   * A server advertised a rate again 13 s after it had withdrawn it, and nothing was sent to it in
    * between; seven requests were in flight when the first response with the new rate arrived. The
    * former rate must not be applied to them.
    */
