--- a/soak/src/test/java/org/lockdale/soak/judge/StatementRulesTest.java
+++ b/soak/src/test/java/org/lockdale/soak/judge/StatementRulesTest.java
@@ -4,86 +4,97 @@
 
 import org.testng.annotations.Test;
 
-/** Servers that say that they leave or want rest, and what reaches them after that. */
+/** Checks what may reach servers that announce draining or request a backoff in responses. */
 public final class StatementRulesTest {
 
   private static final long T = 100_000;
   private static final String SERVER = "server-1";
 
-  /** A server told a node that it leaves, in an answer that reached the caller or did not. */
-  private static Notes leaving(boolean passedOn) {
-    Notes notes = new Notes();
-    notes.add(Notes.sentTo("node-1", T - 20, "told", RequestKind.SAFE));
-    notes.add(new Note.Arrived(T - 15, SERVER, "pool", "told"));
-    notes.add(new Note.LeavingTold(T - 10, SERVER, "told"));
-    String signature = passedOn ? SERVER + "/1" : "server-2/1";
-    notes.add(Notes.answered(T, "told", 200, signature, ""));
-    return notes;
+  /**
+   * Returns a history in which a server announced to a node that it drains, in a response that was
+   * forwarded to the caller or not.
+   */
+  private static HistoryBuilder draining(boolean forwarded) {
+    HistoryBuilder history = new HistoryBuilder();
+    history.add(HistoryBuilder.sentTo("node-1", T - 20, "told", RequestKind.SAFE));
+    history.add(new Note.Arrived(T - 15, SERVER, "pool", "told"));
+    history.add(new Note.LeavingTold(T - 10, SERVER, "told"));
+    String signature = forwarded ? SERVER + "/1" : "server-2/1";
+    history.add(HistoryBuilder.answered(T, "told", 200, signature, ""));
+    return history;
   }
 
-  private static Notes with(Notes notes, String node, long sentAt, long arrivedAt) {
-    notes.add(Notes.sentTo(node, sentAt, "later", RequestKind.SAFE));
-    return notes.add(new Note.Arrived(arrivedAt, SERVER, "pool", "later"));
+  private static HistoryBuilder withLaterRequest(
+      HistoryBuilder history, String node, long sentAt, long arrivedAt) {
+    history.add(HistoryBuilder.sentTo(node, sentAt, "later", RequestKind.SAFE));
+    return history.add(new Note.Arrived(arrivedAt, SERVER, "pool", "later"));
   }
 
-  private static boolean breaksDrain(Notes notes) {
-    return notes.brokenRules().contains("DRAIN");
+  private static boolean violatesDrain(HistoryBuilder history) {
+    return history.violatedRules().contains("DRAIN");
   }
 
   @Test
-  public void whatComesLaterThanTheBoundAfterTheAnswerIsRefused() {
-    assertEquals(breaksDrain(with(leaving(true), "node-1", T + 2_000, T + 2_900)), false);
-    assertEquals(breaksDrain(with(leaving(true), "node-1", T + 2_001, T + 2_010)), true);
+  public void requestsSentAfterTheBoundAreAViolation() {
+    assertEquals(
+        violatesDrain(withLaterRequest(draining(true), "node-1", T + 2_000, T + 2_900)), false);
+    assertEquals(
+        violatesDrain(withLaterRequest(draining(true), "node-1", T + 2_001, T + 2_010)), true);
   }
 
   @Test
-  public void aNodeThatPassedNoSuchAnswerOnIsNotBound() {
-    assertEquals(breaksDrain(with(leaving(false), "node-1", T + 5_000, T + 5_010)), false);
-    assertEquals(breaksDrain(with(leaving(true), "node-2", T + 5_000, T + 5_010)), false);
+  public void nodesWithoutAForwardedAnnouncementAreNotBound() {
+    assertEquals(
+        violatesDrain(withLaterRequest(draining(false), "node-1", T + 5_000, T + 5_010)), false);
+    assertEquals(
+        violatesDrain(withLaterRequest(draining(true), "node-2", T + 5_000, T + 5_010)), false);
   }
 
   @Test
-  public void aRestartOrAFreezeExcusesALeavingAndACutDoesNot() {
-    Notes frozen = with(leaving(true), "node-1", T + 5_000, T + 5_010);
+  public void restartsAndPausesExcuseADrainViolationButPartitionsDoNot() {
+    HistoryBuilder frozen = withLaterRequest(draining(true), "node-1", T + 5_000, T + 5_010);
+    assertEquals(
+        violatesDrain(frozen.add(new Note.DisruptionBegan(T + 500, 7, "node-1", false))), false);
+    HistoryBuilder started = withLaterRequest(draining(true), "node-1", T + 5_000, T + 5_010);
+    assertEquals(violatesDrain(started.add(new Note.Started(T + 700, "node-1"))), false);
+    HistoryBuilder cut = withLaterRequest(draining(true), "node-1", T + 5_000, T + 5_010);
     assertEquals(
-        breaksDrain(frozen.add(new Note.DisruptionBegan(T + 500, 7, "node-1", false))), false);
-    Notes started = with(leaving(true), "node-1", T + 5_000, T + 5_010);
-    assertEquals(breaksDrain(started.add(new Note.Started(T + 700, "node-1"))), false);
-    Notes cut = with(leaving(true), "node-1", T + 5_000, T + 5_010);
-    assertEquals(breaksDrain(cut.add(new Note.DisruptionBegan(T + 500, 7, "node-1", true))), true);
+        violatesDrain(cut.add(new Note.DisruptionBegan(T + 500, 7, "node-1", true))), true);
   }
 
-  /** A node was asked for 3 s of rest, and sent some requests at a time after that. */
-  private static Notes resting(int requests, long afterMillis) {
-    Notes notes = new Notes();
-    notes.add(Notes.sentTo("node-1", T - 5, "told", RequestKind.SAFE));
-    notes.add(new Note.RestTold(T, SERVER, "told", 3_000));
+  /** Returns a history in which a node received a backoff of 3 s and sent requests after a time. */
+  private static HistoryBuilder backingOff(int requests, long afterMillis) {
+    HistoryBuilder history = new HistoryBuilder();
+    history.add(HistoryBuilder.sentTo("node-1", T - 5, "told", RequestKind.SAFE));
+    history.add(new Note.RestTold(T, SERVER, "told", 3_000));
     for (int request = 0; request < requests; request++) {
-      notes.add(Notes.sentTo("node-1", T + afterMillis, "r" + request, RequestKind.SAFE));
-      notes.add(new Note.Arrived(T + afterMillis, SERVER, "pool", "r" + request));
+      history.add(
+          HistoryBuilder.sentTo("node-1", T + afterMillis, "r" + request, RequestKind.SAFE));
+      history.add(new Note.Arrived(T + afterMillis, SERVER, "pool", "r" + request));
     }
-    return notes;
+    return history;
   }
 
-  private static boolean breaksBudget(Notes notes) {
-    return notes.brokenRules().contains("BUDGET");
+  private static boolean violatesBudget(HistoryBuilder history) {
+    return history.violatedRules().contains("BUDGET");
   }
 
   @Test
-  public void moreThanTwoRequestsInARestAreRefused() {
-    assertEquals(breaksBudget(resting(2, 1_000)), false);
-    assertEquals(breaksBudget(resting(3, 1_000)), true);
+  public void moreThanTwoRequestsInABackoffAreAViolation() {
+    assertEquals(violatesBudget(backingOff(2, 1_000)), false);
+    assertEquals(violatesBudget(backingOff(3, 1_000)), true);
   }
 
   @Test
-  public void whatComesAtOnceOrAfterTheRestIsNotCounted() {
-    assertEquals(breaksBudget(resting(9, 499)), false);
-    assertEquals(breaksBudget(resting(9, 3_000)), false);
+  public void requestsSentAtOnceOrAfterTheBackoffAreNotCounted() {
+    assertEquals(violatesBudget(backingOff(9, 499)), false);
+    assertEquals(violatesBudget(backingOff(9, 3_000)), false);
   }
 
   @Test
-  public void aCutExcusesARest() {
-    Notes cut = resting(3, 1_000).add(new Note.DisruptionBegan(T + 100, 7, "node-1", true));
-    assertEquals(breaksBudget(cut), false);
+  public void partitionsExcuseABackoffViolation() {
+    HistoryBuilder cut =
+        backingOff(3, 1_000).add(new Note.DisruptionBegan(T + 100, 7, "node-1", true));
+    assertEquals(violatesBudget(cut), false);
   }
 }
