--- a/soak/src/main/java/org/lockdale/soak/run/Caller.java
+++ b/soak/src/main/java/org/lockdale/soak/run/Caller.java
@@ -11,45 +11,50 @@
 import org.lockdale.soak.judge.Note;
 import org.lockdale.soak.judge.RequestFacts;
 import org.lockdale.soak.judge.RequestKind;
+import org.lockdale.soak.standin.HeaderNames;
 import org.lockdale.soak.standin.ServerBase;
 import org.lockdale.soak.standin.StandardStreams;
-import org.lockdale.soak.standin.Wire;
 
 /**
- * One caller, which sends a request after the other and keeps its connection until the node closes
- * it or it breaks. A few of its requests are given up early, use a key that was replaced, or go to
- * a route that was just added or removed.
+ * A caller that sends one request after another. It keeps its connection until the node closes it,
+ * it breaks, or a request is abandoned. Some requests are abandoned before the response, use a
+ * replaced API key, or go to the route that was added or removed last.
  */
 final class Caller {
 
-  private static final int CONNECT_MILLIS = 1_000;
-  private static final int SHORTEST_PAUSE_MILLIS = 5;
-  private static final int LONGEST_PAUSE_MILLIS = 120;
-  private static final int LONGEST_STAY_MILLIS = 700;
-  private static final int SHORTEST_DEADLINE_MILLIS = 1_500;
-  private static final int LONGEST_DEADLINE_MILLIS = 8_000;
-  private static final int SHARED_PARTS = 12;
-  private static final int PART_TOKENS = 1_200;
-  private static final int OWN_TOKENS = 200;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+  private static final int MIN_PAUSE_MILLIS = 5;
+  private static final int MAX_PAUSE_MILLIS = 120;
+  private static final int MAX_STAY_MILLIS = 700;
+  private static final int MIN_DEADLINE_MILLIS = 1_500;
+  private static final int MAX_DEADLINE_MILLIS = 8_000;
+  private static final int SHARED_PREFIXES = 12;
+  private static final int SHARED_PART_TOKENS = 1_200;
+  private static final int UNIQUE_PART_TOKENS = 200;
   private static final int OK = 200;
 
-  /** One body in so many takes several packets. */
-  private static final int LONG_BODY_PARTS = 10;
+  /** One body in this many is so long that it takes several packets. */
+  private static final int LONG_BODY_INTERVAL = 10;
 
   private static final int LONG_BODY_BYTES = 6_000;
 
-  /** One body in so many is sent in chunks. */
-  private static final int CHUNKED_PARTS = 5;
+  /** One body in this many is sent with chunked transfer encoding. */
+  private static final int CHUNKED_INTERVAL = 5;
 
   private static final int CHUNK_BYTES = 1_000;
 
-  /** One request in so many ends each server that runs it. */
-  private static final int CRASHING_PARTS = 60;
+  /** One request in this many crashes each server that runs it. */
+  private static final int CRASHING_INTERVAL = 60;
 
-  /** Callers send these at different times. */
-  private static final int CRASHING_STEP = 7;
+  /** Offset between callers, so that they send crashing requests at different times. */
+  private static final int CRASHING_OFFSET = 7;
 
-  /** What a caller is about to send. */
+  /**
+   * The next request of a caller.
+   *
+   * @param lastEventId event after which a stream continues; 0 for its start
+   * @param stayMillis time after which the caller abandons the request; 0 to wait for the response
+   */
   private record Plan(
       String id,
       RequestKind kind,
@@ -61,7 +66,7 @@
 
   private final int number;
   private final SplittableRandom random;
-  private final Entrance entrance;
+  private final LoadBalancer loadBalancer;
   private final Operator operator;
   private final NoteLog notes;
   private final Callers.Counts counts;
@@ -73,27 +78,27 @@
   Caller(
       int number,
       SplittableRandom random,
-      Entrance entrance,
+      LoadBalancer loadBalancer,
       Operator operator,
       NoteLog notes,
       Callers.Counts counts) {
     this.number = number;
     this.random = random;
-    this.entrance = entrance;
+    this.loadBalancer = loadBalancer;
     this.operator = operator;
     this.notes = notes;
     this.counts = counts;
   }
 
-  /** Sends requests until told to stop. */
+  /** Sends requests until {@code stopping} is set or the thread is interrupted. */
   void run(AtomicBoolean stopping) {
     try {
       while (!stopping.get()) {
         RawCaller open = connect();
         if (open != null) {
-          exchange(open, plan());
+          exchange(open, nextRequest());
         }
-        Thread.sleep(random.nextInt(SHORTEST_PAUSE_MILLIS, LONGEST_PAUSE_MILLIS));
+        Thread.sleep(random.nextInt(MIN_PAUSE_MILLIS, MAX_PAUSE_MILLIS));
       }
     } catch (InterruptedException ended) {
       Thread.currentThread().interrupt();
@@ -103,10 +108,10 @@
 
   private @Nullable RawCaller connect() {
     if (connection == null) {
-      node = entrance.nodeFor(31 * number + connections++);
+      node = loadBalancer.nodeFor(31 * number + connections++);
       try {
-        connection = new RawCaller(entrance.addressOf(node), CONNECT_MILLIS);
-      } catch (IOException refused) {
+        connection = new RawCaller(loadBalancer.addressOf(node), CONNECT_TIMEOUT_MILLIS);
+      } catch (IOException unreachable) {
         return null;
       }
     }
@@ -118,13 +123,13 @@
       try {
         connection.close();
       } catch (IOException closed) {
-        // Closing was all that was wanted of it.
+        // The connection is discarded in any case.
       }
       connection = null;
     }
   }
 
-  private Plan plan() {
+  private Plan nextRequest() {
     String id = String.format(Locale.ROOT, "%02x%06x", number, ++requests);
     int draw = random.nextInt(100);
     String route;
@@ -148,58 +153,59 @@
       route = "resumable";
       kind = RequestKind.RESUMABLE;
     }
-    if (isCrashing()) {
-      return crashing(id);
+    if (isCrashingTurn()) {
+      return crashingRequest(id);
     }
     boolean resumes = kind == RequestKind.RESUMABLE && random.nextInt(10) == 0;
-    boolean leaves = random.nextInt(12) == 0;
+    boolean abandons = random.nextInt(12) == 0;
     return new Plan(
         id,
         kind,
-        facts(route, id, kind),
-        key(),
-        random.nextInt(SHORTEST_DEADLINE_MILLIS, LONGEST_DEADLINE_MILLIS),
+        randomFacts(route, id, kind),
+        randomKey(),
+        random.nextInt(MIN_DEADLINE_MILLIS, MAX_DEADLINE_MILLIS),
         resumes ? 2 : 0,
-        leaves ? random.nextInt(1, LONGEST_STAY_MILLIS) : 0);
+        abandons ? random.nextInt(1, MAX_STAY_MILLIS) : 0);
   }
 
-  /** Not drawn, so that all else stays as a seed has it. */
-  private boolean isCrashing() {
-    return (requests + CRASHING_STEP * number) % CRASHING_PARTS == 0;
+  /** Computed instead of drawn, since a draw would change everything else drawn from the seed. */
+  private boolean isCrashingTurn() {
+    return (requests + CRASHING_OFFSET * number) % CRASHING_INTERVAL == 0;
   }
 
-  /** The same request of the same tenant at whatever caller and node, but for its id. */
-  private Plan crashing(String id) {
+  /**
+   * Returns the crashing request, which is the same for all callers and nodes except for its id.
+   */
+  private Plan crashingRequest(String id) {
     RequestFacts facts =
         new RequestFacts(
             "POST",
             "/stream/crashing",
-            ServerBase.CRASHING,
+            ServerBase.CRASHING_BODY_PREFIX,
             Processes.MODEL,
-            "c0de:" + OWN_TOKENS,
-            OWN_TOKENS + ",80");
-    return new Plan(
-        id, RequestKind.STREAM, facts, Operator.STEADY_KEY, SHORTEST_DEADLINE_MILLIS, 0, 0);
+            "c0de:" + UNIQUE_PART_TOKENS,
+            UNIQUE_PART_TOKENS + ",80");
+    return new Plan(id, RequestKind.STREAM, facts, Operator.STEADY_KEY, MIN_DEADLINE_MILLIS, 0, 0);
   }
 
-  private RequestFacts facts(String route, String id, RequestKind kind) {
-    boolean isLong = random.nextInt(LONG_BODY_PARTS) == 0;
+  private RequestFacts randomFacts(String route, String id, RequestKind kind) {
+    boolean isLong = random.nextInt(LONG_BODY_INTERVAL) == 0;
     String body = "body of " + id + ".".repeat(isLong ? LONG_BODY_BYTES : 0);
     String path = "/" + route + "/" + id + "?item=" + number;
     if (!kind.isStreaming()) {
       return new RequestFacts("POST", path, body, null, null, null);
     }
     StringBuilder parts = new StringBuilder();
-    int shared = random.nextInt(SHARED_PARTS);
+    int shared = random.nextInt(SHARED_PREFIXES);
     for (int part = 0; part <= shared % 3; part++) {
-      parts.append(String.format(Locale.ROOT, "%02x%02x:%d,", shared, part, PART_TOKENS));
+      parts.append(String.format(Locale.ROOT, "%02x%02x:%d,", shared, part, SHARED_PART_TOKENS));
     }
-    parts.append(id).append(':').append(OWN_TOKENS);
-    String usage = (shared % 3 + 1) * PART_TOKENS + OWN_TOKENS + ",80";
+    parts.append(id).append(':').append(UNIQUE_PART_TOKENS);
+    String usage = (shared % 3 + 1) * SHARED_PART_TOKENS + UNIQUE_PART_TOKENS + ",80";
     return new RequestFacts("POST", path, body, Processes.MODEL, parts.toString(), usage);
   }
 
-  private String key() {
+  private String randomKey() {
     int draw = random.nextInt(10);
     if (draw == 0) {
       return operator.replacedKey();
@@ -212,7 +218,7 @@
 
   private void exchange(RawCaller open, Plan plan) {
     try {
-      noteSurplus(open);
+      recordSurplus(open);
       notes.add(
           new Note.Sent(
               StandardStreams.nowMillis(),
@@ -224,21 +230,21 @@
               plan.deadlineMillis(),
               plan.lastEventId()));
       counts.sent.incrementAndGet();
-      open.send(text(plan));
+      open.send(requestText(plan));
       if (plan.stayMillis() > 0) {
         Thread.sleep(plan.stayMillis());
-        leave(plan);
+        abandon(plan);
         return;
       }
       open.setPatience(plan.deadlineMillis());
-      read(open, plan);
+      readResponse(open, plan);
     } catch (SocketTimeoutException late) {
-      leave(plan);
+      abandon(plan);
     } catch (IOException broken) {
       counts.failed.incrementAndGet();
       disconnect();
-    } catch (NumberFormatException | IndexOutOfBoundsException unreadable) {
-      String text = "an answer that can't be read: " + unreadable;
+    } catch (NumberFormatException | IndexOutOfBoundsException malformed) {
+      String text = "the response can't be parsed: " + malformed;
       notes.add(new Note.Surplus(StandardStreams.nowMillis(), node, text));
       disconnect();
     } catch (InterruptedException ended) {
@@ -246,16 +252,18 @@
     }
   }
 
-  /** Notes the close after it, so that nothing counts as late that came before. */
-  private void leave(Plan plan) {
-    counts.left.incrementAndGet();
+  /**
+   * Closes the connection, then records it, so that nothing sent before the close counts as late.
+   */
+  private void abandon(Plan plan) {
+    counts.abandoned.incrementAndGet();
     disconnect();
     notes.add(new Note.Left(StandardStreams.nowMillis(), plan.id()));
   }
 
-  private void read(RawCaller open, Plan plan) throws IOException {
-    RawCaller.Answer answer = open.read();
-    if (answer.status() == 0) {
+  private void readResponse(RawCaller open, Plan plan) throws IOException {
+    RawCaller.Answer response = open.read();
+    if (response.status() == 0) {
       counts.failed.incrementAndGet();
       disconnect();
       return;
@@ -264,44 +272,45 @@
         new Note.Answered(
             StandardStreams.nowMillis(),
             plan.id(),
-            answer.status(),
-            answer.header(Wire.SIGNATURE),
-            answer.body(),
-            answer.whole()));
-    boolean served = answer.status() == OK && answer.whole();
-    (served ? counts.served : counts.refused).incrementAndGet();
-    if (!answer.whole() || "close".equalsIgnoreCase(answer.header("connection"))) {
+            response.status(),
+            response.header(HeaderNames.SIGNATURE),
+            response.body(),
+            response.whole()));
+    boolean served = response.status() == OK && response.whole();
+    (served ? counts.served : counts.rejected).incrementAndGet();
+    if (!response.whole() || "close".equalsIgnoreCase(response.header("connection"))) {
       disconnect();
     }
   }
 
-  private void noteSurplus(RawCaller open) throws IOException {
+  private void recordSurplus(RawCaller open) throws IOException {
     String unread = open.unread();
-    boolean refusal = unread.startsWith("HTTP/1.1 4") || unread.startsWith("HTTP/1.1 5");
-    if (!unread.isEmpty() && !refusal) {
+    boolean errorResponse = unread.startsWith("HTTP/1.1 4") || unread.startsWith("HTTP/1.1 5");
+    if (!unread.isEmpty() && !errorResponse) {
       notes.add(new Note.Surplus(StandardStreams.nowMillis(), node, unread));
     }
   }
 
-  private static String text(Plan plan) {
+  private static String requestText(Plan plan) {
     RequestFacts facts = plan.facts();
     StringBuilder text = new StringBuilder(facts.method() + " " + facts.path() + " HTTP/1.1\r\n");
-    header(text, "Host", Operator.HOST);
-    header(text, Wire.REQUEST_ID, plan.id());
-    header(text, Wire.DEADLINE, Integer.toString(plan.deadlineMillis()));
-    header(text, "Authorization", "Bearer " + plan.key());
-    header(text, Wire.TENANT, "tenant-of-the-callers-own-choice");
-    header(text, Wire.MODEL, facts.model());
-    header(text, Wire.PREFIX, facts.prefix());
-    header(text, Wire.USAGE, facts.usage());
-    header(text, Wire.SALT, "salt-of-the-callers-own-choice");
-    header(text, Wire.EXPECTED_VERSION, "1");
-    header(text, Wire.LAST_EVENT, plan.lastEventId() > 0 ? "" + plan.lastEventId() : null);
-    if (plan.deadlineMillis() % CHUNKED_PARTS == 0) {
-      header(text, "Transfer-Encoding", "chunked");
+    appendHeader(text, "Host", Operator.HOST);
+    appendHeader(text, HeaderNames.REQUEST_ID, plan.id());
+    appendHeader(text, HeaderNames.DEADLINE, Integer.toString(plan.deadlineMillis()));
+    appendHeader(text, "Authorization", "Bearer " + plan.key());
+    appendHeader(text, HeaderNames.TENANT, "tenant-of-the-callers-own-choice");
+    appendHeader(text, HeaderNames.MODEL, facts.model());
+    appendHeader(text, HeaderNames.PREFIX, facts.prefix());
+    appendHeader(text, HeaderNames.USAGE, facts.usage());
+    appendHeader(text, HeaderNames.SALT, "salt-of-the-callers-own-choice");
+    appendHeader(text, HeaderNames.EXPECTED_VERSION, "1");
+    appendHeader(
+        text, HeaderNames.LAST_EVENT, plan.lastEventId() > 0 ? "" + plan.lastEventId() : null);
+    if (plan.deadlineMillis() % CHUNKED_INTERVAL == 0) {
+      appendHeader(text, "Transfer-Encoding", "chunked");
       return text.append("\r\n").append(chunked(facts.body())).toString();
     }
-    header(text, "Content-Length", Integer.toString(facts.body().length()));
+    appendHeader(text, "Content-Length", Integer.toString(facts.body().length()));
     return text.append("\r\n").append(facts.body()).toString();
   }
 
@@ -314,7 +323,7 @@
     return text.append("0\r\n\r\n").toString();
   }
 
-  private static void header(StringBuilder text, String name, @Nullable String value) {
+  private static void appendHeader(StringBuilder text, String name, @Nullable String value) {
     if (value != null) {
       text.append(name).append(": ").append(value).append("\r\n");
     }
--- a/soak/src/main/java/org/lockdale/soak/run/Callers.java
+++ b/soak/src/main/java/org/lockdale/soak/run/Callers.java
@@ -7,17 +7,17 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** All callers of a run, a thread each. */
+/** Runs all callers of a run, each in a thread of its own. */
 final class Callers implements Closeable {
 
-  /** Requests by how they ended. */
+  /** Numbers of requests by outcome. */
   static final class Counts {
 
     final AtomicInteger sent = new AtomicInteger();
     final AtomicInteger served = new AtomicInteger();
-    final AtomicInteger refused = new AtomicInteger();
+    final AtomicInteger rejected = new AtomicInteger();
     final AtomicInteger failed = new AtomicInteger();
-    final AtomicInteger left = new AtomicInteger();
+    final AtomicInteger abandoned = new AtomicInteger();
 
     @Override
     public String toString() {
@@ -26,11 +26,11 @@
           + " served="
           + served
           + " refused="
-          + refused
+          + rejected
           + " failed="
           + failed
           + " left="
-          + left;
+          + abandoned;
     }
   }
 
@@ -38,10 +38,10 @@
   private final List<Thread> threads = new ArrayList<>();
   private final Counts counts = new Counts();
 
-  Callers(int number, long seed, Entrance entrance, Operator operator, NoteLog notes) {
+  Callers(int number, long seed, LoadBalancer loadBalancer, Operator operator, NoteLog notes) {
     SplittableRandom random = new SplittableRandom(seed);
     for (int index = 0; index < number; index++) {
-      Caller caller = new Caller(index, random.split(), entrance, operator, notes, counts);
+      Caller caller = new Caller(index, random.split(), loadBalancer, operator, notes, counts);
       Thread thread = new Thread(() -> caller.run(stopping), "caller-" + index);
       thread.setDaemon(true);
       threads.add(thread);
@@ -53,7 +53,7 @@
     return counts;
   }
 
-  /** Lets each caller finish its request. */
+  /** Stops the callers and waits until each has finished its current request. */
   void stop() throws InterruptedException {
     stopping.set(true);
     for (Thread thread : threads) {
--- a/soak/src/main/java/org/lockdale/soak/run/FaultInjector.java
+++ b/soak/src/main/java/org/lockdale/soak/run/FaultInjector.java
@@ -24,33 +24,33 @@
 import org.lockdale.soak.standin.StandardStreams;
 import org.tinylog.Logger;
 
-/** Brings the faults of a plan about and notes whom they disrupt. */
+/** Injects the faults of a plan and records which processes and links they disrupt. */
 final class FaultInjector implements Closeable {
 
-  /** Time from SIGTERM to SIGKILL, as the settings of the nodes have it. */
+  /** Time from SIGTERM to SIGKILL; also the grace period in the settings of the nodes. */
   static final long GRACE_MILLIS = 8_000;
 
-  /** Time for which a server that leaves serves on; the bound and a little longer. */
-  private static final long SERVE_ON_MILLIS = 3_200;
+  /** Time for which a draining server still serves; slightly longer than the bound. */
+  private static final long DRAIN_MILLIS = 3_200;
 
-  /** Time until a server is back that ended of a request. */
-  private static final long SERVER_BACK_MILLIS = 2_000;
+  /** Time until a server that a request crashed is started again. */
+  private static final long SERVER_RESTART_DELAY_MILLIS = 2_000;
 
-  /** Heartbeats that a server may miss before its entry goes. */
-  private static final int MISSED_HEARTBEATS = 3;
+  /** Heartbeats that a server may miss before its entry is removed from the store. */
+  private static final int MAX_MISSED_HEARTBEATS = 3;
 
-  /** Pause of a process that is stopping; shorter than its grace. */
+  /** Pause of a process that is shutting down; shorter than its grace period. */
   private static final long SHORT_PAUSE_MILLIS = 700;
 
   private static final int THREADS = 24;
 
-  private static final int RESTARTS_TO_A_NEW_ID = 3;
+  private static final int RESTARTS_PER_NEW_ID = 3;
 
   private final Processes processes;
   private final Operator operator;
   private final NoteLog notes;
   private final List<String> nodes;
-  private final Map<String, ProcessTrouble> busy = new ConcurrentHashMap<>();
+  private final Map<String, ProcessTrouble> outages = new ConcurrentHashMap<>();
   private final AtomicInteger restarts = new AtomicInteger();
   private final ScheduledExecutorService executor = Executors.newScheduledThreadPool(THREADS);
 
@@ -61,36 +61,38 @@
     this.nodes = nodes;
     executor.scheduleWithFixedDelay(
         () -> {
-          dropSilentServers();
-          restartEnded();
+          removeSilentServers();
+          restartExitedProcesses();
         },
         0,
         StandInProcess.HEARTBEAT_MILLIS / 4,
         TimeUnit.MILLISECONDS);
   }
 
-  /** Starts nodes again that have ended though nobody took them away, as the platform does. */
-  private void restartEnded() {
+  /**
+   * Restarts processes whose exit was expected and which no outage restarts, as the platform does.
+   */
+  private void restartExitedProcesses() {
     for (String node : nodes) {
       ManagedProcess process = processes.process(node);
-      if (process.hasEnded() && !process.endedByItself() && !busy.containsKey(node)) {
+      if (process.hasExited() && !process.exitedUnexpectedly() && !outages.containsKey(node)) {
         inject(new Fault.OnProcess(node, ProcessTrouble.KILLED, 1));
       }
     }
     for (String server : processes.servers().keySet()) {
       ManagedProcess process = processes.process(server);
-      if (process.hasEnded() && !process.endedByItself() && !busy.containsKey(server)) {
-        inject(new Fault.OnProcess(server, ProcessTrouble.KILLED, SERVER_BACK_MILLIS));
+      if (process.hasExited() && !process.exitedUnexpectedly() && !outages.containsKey(server)) {
+        inject(new Fault.OnProcess(server, ProcessTrouble.KILLED, SERVER_RESTART_DELAY_MILLIS));
       }
     }
   }
 
-  /** Begins a fault; its end follows by itself. */
+  /** Starts a fault in the background, which also ends it after its duration. */
   void inject(Fault fault) {
     executor.execute(
         () -> {
           try {
-            begin(fault);
+            start(fault);
           } catch (IOException | RuntimeException failed) {
             Logger.error(failed, "event=fault-failed fault={}", fault);
           } catch (InterruptedException ended) {
@@ -99,61 +101,65 @@
         });
   }
 
-  private void begin(Fault fault) throws IOException, InterruptedException {
+  private void start(Fault fault) throws IOException, InterruptedException {
     if (fault instanceof Fault.OnLink link) {
-      harm(link);
+      disruptLink(link);
     } else if (fault instanceof Fault.OnStore onStore) {
-      harmStore(onStore);
+      disruptStore(onStore);
     } else if (fault instanceof Fault.ForeignEntry entry) {
-      writeForeign(entry);
-    } else if (fault instanceof Fault.RateNamed named) {
-      nameRate(named);
-    } else if (fault instanceof Fault.RestWanted wanted) {
-      wantRest(wanted);
-    } else if (fault instanceof Fault.LeavingSaid said) {
-      away(said.server(), ProcessTrouble.KILLED, () -> leaveUnrecorded(said));
+      writeForeignEntry(entry);
+    } else if (fault instanceof Fault.RateNamed rate) {
+      advertiseRate(rate);
+    } else if (fault instanceof Fault.RestWanted backoff) {
+      requestBackoff(backoff);
+    } else if (fault instanceof Fault.LeavingSaid announcement) {
+      runOutage(
+          announcement.server(), ProcessTrouble.KILLED, () -> drainBeforeRecorded(announcement));
     } else if (fault instanceof Fault.ByOperator change) {
-      operator.change(change.change());
+      operator.apply(change.change());
     } else if (fault instanceof Fault.ServerReplaced replaced) {
-      away(replaced.server(), ProcessTrouble.KILLED, () -> replace(replaced));
+      runOutage(replaced.server(), ProcessTrouble.KILLED, () -> replaceServer(replaced));
     } else if (fault instanceof Fault.OnProcess onProcess) {
       if (onProcess.trouble() == ProcessTrouble.TOLD_TO_RELOAD) {
         processes.process(onProcess.process()).signal("HUP");
       } else {
-        away(onProcess.process(), onProcess.trouble(), () -> harmProcess(onProcess));
+        runOutage(onProcess.process(), onProcess.trouble(), () -> disruptProcess(onProcess));
       }
     }
   }
 
-  /** Something that takes a process away for a while. */
+  /** An action that pauses or stops a process for some time. */
   @FunctionalInterface
-  private interface Absence {
+  private interface Outage {
     void run() throws IOException, InterruptedException;
   }
 
-  /** Takes a process away, unless it is away already; a signal may come in between all the same. */
-  private void away(String name, ProcessTrouble trouble, Absence absence)
+  /**
+   * Runs an outage of a process and restarts the process if it has exited. During another outage,
+   * it may only be sent a signal.
+   */
+  private void runOutage(String name, ProcessTrouble trouble, Outage outage)
       throws IOException, InterruptedException {
-    ProcessTrouble before = busy.putIfAbsent(name, trouble);
+    ProcessTrouble before = outages.putIfAbsent(name, trouble);
     if (before != null) {
-      signalInBetween(processes.process(name), before, trouble);
+      signalDuringOutage(processes.process(name), before, trouble);
       return;
     }
     try {
-      absence.run();
+      outage.run();
       if (!processes.process(name).isAlive()) {
-        startAgain(name);
+        restart(name);
       }
     } finally {
-      busy.remove(name);
+      outages.remove(name);
     }
   }
 
   /**
-   * Signals a process that is being paused or stopped; whoever began that starts it again. The
-   * disruption that was noted then covers this one.
+   * Signals a process that is being paused or stopped. The outage that is under way restarts it,
+   * and its recorded disruption covers this one.
    */
-  private static void signalInBetween(
+  private static void signalDuringOutage(
       ManagedProcess process, ProcessTrouble before, ProcessTrouble trouble)
       throws IOException, InterruptedException {
     if (trouble == ProcessTrouble.KILLED) {
@@ -165,49 +171,49 @@
     }
   }
 
-  private void harm(Fault.OnLink link) throws InterruptedException {
+  private void disruptLink(Fault.OnLink link) throws InterruptedException {
     List<Long> disruptions = new ArrayList<>();
     for (String end : List.of(link.source(), link.destination())) {
       if (nodes.contains(end)) {
-        disruptions.add(notes.disruptionBegins(end, true));
+        disruptions.add(notes.recordDisruptionStart(end, true));
       }
     }
     processes.proxy().harm(link.source(), link.destination(), link.trouble());
-    Thread.sleep(lasts(link));
+    Thread.sleep(durationMillis(link));
     processes.proxy().heal(link.source(), link.destination(), link.trouble());
-    disruptions.forEach(notes::disruptionEnds);
+    disruptions.forEach(notes::recordDisruptionEnd);
   }
 
-  private static long lasts(Fault.OnLink link) {
+  private static long durationMillis(Fault.OnLink link) {
     return switch (link.trouble()) {
       case RESET, SILENCED -> 1;
       default -> link.lastsMillis();
     };
   }
 
-  private void harmStore(Fault.OnStore fault) throws IOException, InterruptedException {
-    long disruption = notes.disruptionBegins(History.CORE, false);
+  private void disruptStore(Fault.OnStore fault) throws IOException, InterruptedException {
+    long disruption = notes.recordDisruptionStart(History.CORE, false);
     ManagedProcess store = processes.process(Deployment.STORE);
     StoreTrouble trouble = fault.trouble();
     if (trouble == StoreTrouble.FORGETFUL) {
-      processes.store().forget();
+      processes.store().discardHistory();
     } else if (trouble == StoreTrouble.PAUSED) {
       store.signal("STOP");
       Thread.sleep(fault.lastsMillis());
       store.signal("CONT");
     } else {
-      processes.store().fault(trouble.name());
+      processes.store().setFault(trouble.name());
       Thread.sleep(fault.lastsMillis());
-      processes.store().fault("NONE");
+      processes.store().setFault("NONE");
     }
-    notes.disruptionEnds(disruption);
+    notes.recordDisruptionEnd(disruption);
   }
 
-  private void harmProcess(Fault.OnProcess fault) throws IOException, InterruptedException {
+  private void disruptProcess(Fault.OnProcess fault) throws IOException, InterruptedException {
     String name = fault.process();
     Processes.Server server = processes.servers().get(name);
     String subject = server == null ? name : server.instance();
-    long disruption = notes.disruptionBegins(subject, false);
+    long disruption = notes.recordDisruptionStart(subject, false);
     ManagedProcess process = processes.process(name);
     switch (fault.trouble()) {
       case PAUSED -> {
@@ -215,114 +221,121 @@
         Thread.sleep(fault.lastsMillis());
         process.signal("CONT");
         if (!process.isAlive()) {
-          startAgain(name);
+          restart(name);
         }
       }
       case KILLED -> {
         process.signal("KILL");
-        process.awaitEnd(GRACE_MILLIS);
+        process.awaitExitOrKill(GRACE_MILLIS);
         Thread.sleep(fault.lastsMillis());
-        startAgain(name);
+        restart(name);
       }
       case RESTARTED -> {
         process.signal("TERM");
-        process.awaitEnd(GRACE_MILLIS);
-        startAgain(name);
+        process.awaitExitOrKill(GRACE_MILLIS);
+        restart(name);
       }
-      case TOLD_TO_RELOAD -> throw new IllegalStateException("takes no process away");
+      case TOLD_TO_RELOAD -> throw new IllegalStateException("a reload does not stop the process");
     }
-    notes.disruptionEnds(disruption);
+    notes.recordDisruptionEnd(disruption);
   }
 
-  private void startAgain(String name) throws IOException {
+  private void restart(String name) throws IOException {
     if (nodes.contains(name)) {
       processes.startNode(name);
       return;
     }
-    // Of three servers that were ended two keep their ids; a replacement has one of its own.
-    if (restarts.incrementAndGet() % RESTARTS_TO_A_NEW_ID == 0) {
-      startUnderANewId(name);
+    // Every third server that is restarted gets a new id, as a replacement does.
+    if (restarts.incrementAndGet() % RESTARTS_PER_NEW_ID == 0) {
+      restartWithNewId(name);
     } else {
-      processes.startServerAgain(name);
+      processes.restartServer(name);
     }
   }
 
-  private void startUnderANewId(String name) throws IOException {
-    Processes.Server ended = processes.servers().get(name);
-    noteLeaving(ended.instance(), processes.store().remove("servers", ended.id()));
-    processes.startServer(name, operator.weights());
+  private void restartWithNewId(String name) throws IOException {
+    Processes.Server exited = processes.servers().get(name);
+    recordLeavingAcknowledged(exited.instance(), processes.store().remove("servers", exited.id()));
+    processes.startServer(name, operator.targetVersion());
   }
 
-  private void replace(Fault.ServerReplaced replaced) throws IOException, InterruptedException {
+  private void replaceServer(Fault.ServerReplaced replaced)
+      throws IOException, InterruptedException {
     String name = replaced.server();
-    Processes.Server leaving = processes.servers().get(name);
-    sayLeaving(leaving.process());
-    noteLeaving(leaving.instance(), processes.withdraw(name, replaced.announced()));
-    endAfterServing(name, leaving);
+    Processes.Server draining = processes.servers().get(name);
+    announceDraining(draining.process());
+    recordLeavingAcknowledged(draining.instance(), processes.withdraw(name, replaced.announced()));
+    killAfterDraining(name, draining);
   }
 
-  /** A server says in its answers alone that it leaves, and some time later its record does. */
-  private void leaveUnrecorded(Fault.LeavingSaid said) throws IOException, InterruptedException {
-    Processes.Server leaving = processes.servers().get(said.server());
-    sayLeaving(leaving.process());
-    Thread.sleep(said.unrecordedMillis());
-    noteLeaving(leaving.instance(), processes.withdraw(said.server(), true));
-    endAfterServing(said.server(), leaving);
+  /**
+   * Lets a server announce in its responses that it is draining, before its record in the store
+   * does.
+   */
+  private void drainBeforeRecorded(Fault.LeavingSaid announcement)
+      throws IOException, InterruptedException {
+    Processes.Server draining = processes.servers().get(announcement.server());
+    announceDraining(draining.process());
+    Thread.sleep(announcement.unrecordedMillis());
+    recordLeavingAcknowledged(draining.instance(), processes.withdraw(announcement.server(), true));
+    killAfterDraining(announcement.server(), draining);
   }
 
-  private static void sayLeaving(ManagedProcess server) throws IOException {
-    if (!server.hasEnded()) {
-      server.say(ServerBase.LEAVING);
+  private static void announceDraining(ManagedProcess server) throws IOException {
+    if (!server.hasExited()) {
+      server.send(ServerBase.LEAVING_COMMAND);
     }
   }
 
-  private void endAfterServing(String name, Processes.Server leaving)
+  private void killAfterDraining(String name, Processes.Server draining)
       throws IOException, InterruptedException {
-    Thread.sleep(SERVE_ON_MILLIS);
-    leaving.process().signal("KILL");
-    leaving.process().awaitEnd(GRACE_MILLIS);
-    startUnderANewId(name);
+    Thread.sleep(DRAIN_MILLIS);
+    draining.process().signal("KILL");
+    draining.process().awaitExitOrKill(GRACE_MILLIS);
+    restartWithNewId(name);
   }
 
-  /** Writes an entry that names no server into the servers' table, and takes it away again. */
-  private void writeForeign(Fault.ForeignEntry entry) throws InterruptedException {
+  /**
+   * Writes an entry that describes no usable server into the server table, and removes it later.
+   */
+  private void writeForeignEntry(Fault.ForeignEntry entry) throws InterruptedException {
     processes.store().put("servers", entry.key(), entry.value());
     Thread.sleep(entry.lastsMillis());
     processes.store().remove("servers", entry.key());
   }
 
-  /** A server that is started again meanwhile names no rate. */
-  private void nameRate(Fault.RateNamed named) throws IOException, InterruptedException {
-    ManagedProcess process = processes.process(named.server());
-    if (!process.hasEnded()) {
-      process.say(ServerBase.RATE + named.perSecond());
-      Thread.sleep(named.lastsMillis());
+  /** Lets a server advertise a rate limit. A server that is restarted meanwhile advertises none. */
+  private void advertiseRate(Fault.RateNamed rate) throws IOException, InterruptedException {
+    ManagedProcess process = processes.process(rate.server());
+    if (!process.hasExited()) {
+      process.send(ServerBase.RATE_COMMAND + rate.perSecond());
+      Thread.sleep(rate.lastsMillis());
     }
-    if (!process.hasEnded()) {
-      process.say(ServerBase.RATE);
+    if (!process.hasExited()) {
+      process.send(ServerBase.RATE_COMMAND);
     }
   }
 
-  /** A server that is started again meanwhile wants no rest. */
-  private void wantRest(Fault.RestWanted wanted) throws IOException, InterruptedException {
-    ManagedProcess process = processes.process(wanted.server());
-    if (!process.hasEnded()) {
-      process.say(ServerBase.REST + wanted.restMillis() + " " + wanted.share());
-      Thread.sleep(wanted.lastsMillis());
+  /** Lets a server request backoff. A server that is restarted meanwhile requests none. */
+  private void requestBackoff(Fault.RestWanted backoff) throws IOException, InterruptedException {
+    ManagedProcess process = processes.process(backoff.server());
+    if (!process.hasExited()) {
+      process.send(ServerBase.REST_COMMAND + backoff.restMillis() + " " + backoff.share());
+      Thread.sleep(backoff.lastsMillis());
     }
-    if (!process.hasEnded()) {
-      process.say(ServerBase.REST);
+    if (!process.hasExited()) {
+      process.send(ServerBase.REST_COMMAND);
     }
   }
 
-  private void noteLeaving(String instance, CompletableFuture<Long> acknowledged) {
+  private void recordLeavingAcknowledged(String instance, CompletableFuture<Long> acknowledged) {
     acknowledged.thenAccept(at -> notes.add(new Note.LeavingAcknowledged(at, instance)));
   }
 
-  /** Drops entries of servers that have been silent; they come back with the next heartbeat. */
-  private void dropSilentServers() {
+  /** Removes the entries of servers without recent heartbeats; the next heartbeat restores them. */
+  private void removeSilentServers() {
     long silentSince =
-        StandardStreams.nowMillis() - MISSED_HEARTBEATS * StandInProcess.HEARTBEAT_MILLIS;
+        StandardStreams.nowMillis() - MAX_MISSED_HEARTBEATS * StandInProcess.HEARTBEAT_MILLIS;
     Set<Processes.Server> servers = new HashSet<>(processes.servers().values());
     for (Processes.Server server : servers) {
       if (server.lastBeatMillis() < silentSince) {
--- a/soak/src/main/java/org/lockdale/soak/run/GatewayProgram.java
+++ b/soak/src/main/java/org/lockdale/soak/run/GatewayProgram.java
@@ -9,48 +9,59 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The gateway as the deploy file runs it: its command and its settings. */
+/** The command and settings with which the deploy file runs the gateway. */
 final class GatewayProgram {
 
-  private static final Pattern RUN = Pattern.compile("(?m)^run = \"(.*)\"$");
-  private static final String SETTINGS = "/etc/lockdale/settings.toml";
+  private static final Pattern COMMAND_LINE = Pattern.compile("(?m)^run = \"(.*)\"$");
+  private static final String DEPLOYED_SETTINGS_PATH = "/etc/lockdale/settings.toml";
   private static final String ARCHIVE_FLAG = "-XX:SharedArchiveFile=";
 
   private final Path root;
-  private final String run;
-  private final String template;
+  private final String commandLine;
+  private final String settingsTemplate;
 
   private GatewayProgram(Path root, String run, String template) {
     this.root = root;
-    this.run = run;
-    this.template = template;
+    this.commandLine = run;
+    this.settingsTemplate = template;
   }
 
-  /** Reads the deploy file of a repository. */
+  /**
+   * Reads the deploy file of a repository.
+   *
+   * @param root directory of the repository
+   * @throws IOException if a file can't be read, or the deploy file has no {@code run} command
+   */
   static GatewayProgram read(Path root) throws IOException {
-    Matcher run = RUN.matcher(Files.readString(root.resolve("deploy/system.toml")));
+    Matcher run = COMMAND_LINE.matcher(Files.readString(root.resolve("deploy/system.toml")));
     if (!run.find()) {
-      throw new IOException("deploy/system.toml has no command");
+      throw new IOException("deploy/system.toml has no line run = \"...\"");
     }
     return new GatewayProgram(
         root, run.group(1), Files.readString(root.resolve("deploy/settings.yaml")));
   }
 
-  /** Returns the command of a node; the archive of classes is left out where it was not built. */
+  /**
+   * Returns the command of a node. The option for the class data sharing archive is left out if the
+   * archive was not built.
+   *
+   * @param settings path of the node's settings file
+   * @param values values of the command's placeholders
+   */
   List<String> command(Path settings, Map<String, String> values) {
     List<String> command = new ArrayList<>();
-    for (String word : SettingsTemplate.fill(run, values).split(" ")) {
+    for (String word : SettingsTemplate.fill(commandLine, values).split(" ")) {
       boolean archive = word.startsWith(ARCHIVE_FLAG);
       if (!archive || Files.exists(root.resolve(word.substring(ARCHIVE_FLAG.length())))) {
-        command.add(word.replace(SETTINGS, settings.toString()));
+        command.add(word.replace(DEPLOYED_SETTINGS_PATH, settings.toString()));
       }
     }
     return command;
   }
 
-  /** Writes a node's settings. */
+  /** Writes the settings file of a node, with the placeholders of the template replaced. */
   void writeSettings(Path settings, Map<String, String> values) throws IOException {
-    Files.writeString(settings, SettingsTemplate.fill(template, values));
+    Files.writeString(settings, SettingsTemplate.fill(settingsTemplate, values));
   }
 
   Path root() {
--- a/soak/src/main/java/org/lockdale/soak/run/ManagedProcess.java
+++ b/soak/src/main/java/org/lockdale/soak/run/ManagedProcess.java
@@ -12,24 +12,24 @@
 import java.util.function.Consumer;
 import org.lockdale.soak.standin.StandardStreams;
 
-/** A process that this run started; it ends with the run. Thread-safe. */
+/** A process that this run started and kills when it is closed. Thread-safe. */
 final class ManagedProcess implements Closeable {
 
   /**
-   * A process that ends so soon after its start, or after it was paused, doesn't count as ending by
-   * itself: before the JVM has its handlers, any signal ends it. The time is the users' rule.
+   * An exit within this time of the start, or of the end of a pause, does not count as unexpected:
+   * any signal ends a JVM that has not yet installed its handlers. The users set this time.
    */
-  private static final long EXCUSED_MILLIS = 1_000;
+  private static final long SIGNAL_EXCUSE_MILLIS = 1_000;
 
-  /** The system ends a killed process at once; a busy one takes longer to hand back its memory. */
-  private static final long KILLED_MILLIS = 5_000;
+  /** SIGKILL takes effect at once, but a busy system takes longer to release the memory. */
+  private static final long KILL_TIMEOUT_MILLIS = 5_000;
 
   private final String name;
   private final Process process;
   private final Writer input;
-  private volatile boolean mayEnd;
+  private volatile boolean exitExpected;
   private volatile long disruptedMillis = StandardStreams.nowMillis();
-  private volatile long endMillis = Long.MAX_VALUE;
+  private volatile long exitMillis = Long.MAX_VALUE;
 
   private ManagedProcess(String name, Process process, Consumer<String> output) {
     this.name = name;
@@ -38,15 +38,15 @@
     Thread reader = new Thread(() -> read(output), name + "-output");
     reader.setDaemon(true);
     reader.start();
-    process.onExit().thenRun(() -> endMillis = StandardStreams.nowMillis());
+    process.onExit().thenRun(() -> exitMillis = StandardStreams.nowMillis());
   }
 
   /**
    * Starts a program.
    *
-   * @param directory where it runs
-   * @param log file that its standard error is added to
-   * @param output gets each line of its standard output
+   * @param directory working directory of the process
+   * @param log file to which its standard error is appended
+   * @param output receives each line of its standard output
    */
   static ManagedProcess start(
       String name, List<String> command, Path directory, Path log, Consumer<String> output)
@@ -65,7 +65,7 @@
         output.accept(line);
       }
     } catch (IOException | UncheckedIOException ended) {
-      // A killed process may leave half a line; whole lines have been read by then.
+      // A killed process may leave an incomplete line; all complete lines were read before.
     }
   }
 
@@ -73,7 +73,7 @@
     return name;
   }
 
-  long id() {
+  long pid() {
     return process.pid();
   }
 
@@ -81,35 +81,35 @@
     return process.isAlive();
   }
 
-  /** Returns whether the process ended although nobody told it to, and without an excuse. */
-  boolean endedByItself() {
-    return hasEnded() && !mayEnd && endMillis - disruptedMillis > EXCUSED_MILLIS;
+  /** Returns whether the process exited unexpectedly, later than the excused time after a pause. */
+  boolean exitedUnexpectedly() {
+    return hasExited() && !exitExpected && exitMillis - disruptedMillis > SIGNAL_EXCUSE_MILLIS;
   }
 
-  /** Returns the exit status of a process that has ended: over 128, it and a signal's number. */
+  /** Returns the exit status; a value over 128 is 128 plus the number of the fatal signal. */
   int exitStatus() {
     return process.exitValue();
   }
 
-  /** Notes that the process ends by what it was sent. */
-  void expectEnd() {
-    mayEnd = true;
+  /** Declares that the process will exit because of a request that it was sent. */
+  void expectExit() {
+    exitExpected = true;
   }
 
-  /** Returns whether the process has ended and when is known. */
-  boolean hasEnded() {
-    return endMillis != Long.MAX_VALUE;
+  /** Returns whether the process has exited and the time of its exit is known. */
+  boolean hasExited() {
+    return exitMillis != Long.MAX_VALUE;
   }
 
-  synchronized void say(String line) throws IOException {
+  synchronized void send(String line) throws IOException {
     input.write(line + "\n");
     input.flush();
   }
 
-  /** Sends a signal, by its name without SIG. */
+  /** Sends a signal, given by its name without {@code SIG}, unless the process has exited. */
   void signal(String signal) throws IOException, InterruptedException {
     if (signal.equals("TERM") || signal.equals("KILL")) {
-      mayEnd = true;
+      exitExpected = true;
     }
     if (signal.equals("CONT")) {
       disruptedMillis = StandardStreams.nowMillis();
@@ -119,27 +119,27 @@
     }
   }
 
-  /** Waits for the end of the process and kills it if it takes longer. */
-  void awaitEnd(long millis) throws InterruptedException {
-    mayEnd = true;
+  /** Waits for the exit of the process and kills it if it takes longer than {@code millis}. */
+  void awaitExitOrKill(long millis) throws InterruptedException {
+    exitExpected = true;
     if (!process.waitFor(millis, TimeUnit.MILLISECONDS)) {
       process.destroyForcibly().waitFor();
     }
   }
 
-  /** Waits until a process that was killed is gone, and its ports are free. */
-  void awaitKilled() {
+  /** Waits until a killed process is gone and its ports are free, for a limited time. */
+  void awaitExitAfterKill() {
     try {
-      process.waitFor(KILLED_MILLIS, TimeUnit.MILLISECONDS);
+      process.waitFor(KILL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException stopped) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Kills the process, paused or not. */
+  /** Kills the process, even if it is paused. */
   @Override
   public void close() {
-    mayEnd = true;
+    exitExpected = true;
     process.destroyForcibly();
   }
 }
--- a/soak/src/main/java/org/lockdale/soak/run/NodeBuilds.java
+++ b/soak/src/main/java/org/lockdale/soak/run/NodeBuilds.java
@@ -7,52 +7,52 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Which build of the gateway each life of a node runs. With a former build beside the present one,
- * every second node begins with it, and a node that starts again runs the other one: updates and
- * rollbacks at any moment.
+ * Selects the build of the gateway that a node runs at each start. If there is a former build,
+ * every second node starts with it and each restart of a node switches to the other build, so that
+ * updates and rollbacks happen at any time.
  */
 final class NodeBuilds {
 
-  private final GatewayProgram present;
+  private final GatewayProgram current;
   private final @Nullable GatewayProgram former;
   private final Map<String, Integer> starts = new ConcurrentHashMap<>();
 
   /**
-   * A build that a life of a node runs.
+   * A build of the gateway.
    *
-   * @param program how it is run
-   * @param isFormer whether it is the former one
+   * @param program command and settings of the build
+   * @param isFormer whether it is the former build
    */
   record Build(GatewayProgram program, boolean isFormer) {}
 
   private NodeBuilds(GatewayProgram present, @Nullable GatewayProgram former) {
-    this.present = present;
+    this.current = present;
     this.former = former;
   }
 
   /**
-   * Reads how the builds are run.
+   * Reads the deploy files of the builds.
    *
    * @param root directory of the repository, with the built gateway
-   * @param formerRoot the same of a former build, or null for none
+   * @param formerRoot directory of the repository of a former build, or null for none
    */
   static NodeBuilds read(Path root, @Nullable Path formerRoot) throws IOException {
     return new NodeBuilds(
         GatewayProgram.read(root), formerRoot == null ? null : GatewayProgram.read(formerRoot));
   }
 
-  /** Returns the directory of the present build. */
+  /** Returns the repository directory of the current build. */
   Path root() {
-    return present.root();
+    return current.root();
   }
 
-  /** Returns the build that a node runs from its next start on. */
-  Build next(String node) {
+  /** Returns the build for the next start of a node; each call counts as a start. */
+  Build nextBuild(String node) {
     int start = starts.merge(node, 1, Integer::sum);
     int number = Character.getNumericValue(node.charAt(node.length() - 1));
     GatewayProgram other = former;
     return other != null && (number + start) % 2 == 0
         ? new Build(other, true)
-        : new Build(present, false);
+        : new Build(current, false);
   }
 }
--- a/soak/src/main/java/org/lockdale/soak/run/NodeOutput.java
+++ b/soak/src/main/java/org/lockdale/soak/run/NodeOutput.java
@@ -14,10 +14,10 @@
 import org.lockdale.soak.judge.Note;
 import org.lockdale.soak.standin.StandardStreams;
 
-/** The log of one node: kept in a file, and what the judge asks of it noted. */
+/** Writes the log of one node to a file and records the lines about live backends as notes. */
 final class NodeOutput implements Consumer<String> {
 
-  private static final Pattern LIVES =
+  private static final Pattern BACKEND_LIVES =
       Pattern.compile(
           "(\\S+) .*event=backend-lives backend=(\\S+) evidence=\\S+ seen-ms-ago=(\\d+)");
 
@@ -37,24 +37,28 @@
   public void accept(String line) {
     try {
       Files.writeString(file, line + "\n", StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-    } catch (IOException full) {
-      throw new UncheckedIOException(full);
+    } catch (IOException failed) {
+      throw new UncheckedIOException(failed);
     }
-    Matcher lives = LIVES.matcher(line);
-    if (lives.matches()) {
-      long writtenMillis = StandardStreams.nowMillis() - ageMillis(lives.group(1));
-      long livedMillis = writtenMillis - Long.parseLong(lives.group(3));
-      notes.add(new Note.SaidToLive(livedMillis, node, lives.group(2)));
+    Matcher matcher = BACKEND_LIVES.matcher(line);
+    if (matcher.matches()) {
+      long writtenMillis = StandardStreams.nowMillis() - ageMillis(matcher.group(1));
+      long livedMillis = writtenMillis - Long.parseLong(matcher.group(3));
+      notes.add(new Note.SaidToLive(livedMillis, node, matcher.group(2)));
     }
   }
 
-  /** Returns how long ago a line was written; a node that was stopped hands it over late. */
+  /**
+   * Returns how long ago a line was written, which may be long for a node that was paused.
+   *
+   * @param timeOfDay time at the start of the line; 0 is returned if it is incomplete
+   */
   private static long ageMillis(String timeOfDay) {
     try {
       long written = LocalTime.parse(timeOfDay).getLong(ChronoField.MILLI_OF_DAY);
       long age = LocalTime.now().getLong(ChronoField.MILLI_OF_DAY) - written;
       return Math.floorMod(age, DAY_MILLIS);
-    } catch (DateTimeParseException half) {
+    } catch (DateTimeParseException incomplete) {
       return 0;
     }
   }
--- a/soak/src/main/java/org/lockdale/soak/run/NoteLog.java
+++ b/soak/src/main/java/org/lockdale/soak/run/NoteLog.java
@@ -16,7 +16,7 @@
 import org.lockdale.soak.judge.RuleBreak;
 import org.lockdale.soak.standin.StandardStreams;
 
-/** Keeps all notes of a run, in the judge's history and in a file. Thread-safe. */
+/** Records all notes of a run in the checker's history and in a file. Thread-safe. */
 final class NoteLog implements Closeable {
 
   private final History history;
@@ -29,7 +29,7 @@
     file = Files.newBufferedWriter(path);
   }
 
-  /** Reads the notes that a run has left in a file. */
+  /** Reads the notes that a run wrote into a file. */
   static History read(Bounds bounds, Path path) throws IOException {
     History history = new History(bounds);
     for (String line : Files.readAllLines(path)) {
@@ -38,12 +38,12 @@
     return history;
   }
 
-  /** Returns what requests that end servers have done. */
+  /** Returns the counts about requests that crash servers. */
   synchronized CrashCounts crashCounts() {
     return CrashCounts.of(history);
   }
 
-  /** Adds a note; what comes after the end of the run is of no use any more. */
+  /** Adds a note. Notes that arrive after {@link #close} are ignored. */
   synchronized void add(Note note) {
     if (closed) {
       return;
@@ -51,41 +51,46 @@
     history.add(note);
     try {
       file.write(StandardStreams.json(note) + "\n");
-    } catch (IOException full) {
-      throw new UncheckedIOException(full);
+    } catch (IOException failed) {
+      throw new UncheckedIOException(failed);
     }
   }
 
-  synchronized List<RuleBreak> breaks() {
+  synchronized List<RuleBreak> findViolations() {
     return Judge.breaks(history);
   }
 
-  /** Notes that a disruption begins and returns its number. */
-  long disruptionBegins(String subject, boolean onLink) {
-    return disruptionBegan(StandardStreams.nowMillis(), subject, onLink);
+  /**
+   * Records that a disruption starts now and returns its id.
+   *
+   * @param subject process, {@link History#CORE} or {@link History#EVERYTHING}
+   * @param onLink whether it affects a link
+   */
+  long recordDisruptionStart(String subject, boolean onLink) {
+    return recordDisruptionStartAt(StandardStreams.nowMillis(), subject, onLink);
   }
 
-  long disruptionBegan(long atMillis, String subject, boolean onLink) {
+  long recordDisruptionStartAt(long atMillis, String subject, boolean onLink) {
     long id = disruptions.incrementAndGet();
     add(new Note.DisruptionBegan(atMillis, id, subject, onLink));
     return id;
   }
 
-  void disruptionEnds(long id) {
+  void recordDisruptionEnd(long id) {
     add(new Note.DisruptionEnded(StandardStreams.nowMillis(), id));
   }
 
   /**
-   * Notes that the machine didn't run the driver, which counts as a disruption of everything: other
-   * work on it must not look like a node's fault.
+   * Records that the machine did not schedule the driver from the given time until now. This counts
+   * as a disruption of everything, so that other load on the machine isn't attributed to a node.
    */
-  void machineStalled(long sinceMillis) {
-    disruptionEnds(disruptionBegan(sinceMillis, History.EVERYTHING, true));
+  void recordMachineStall(long sinceMillis) {
+    recordDisruptionEnd(recordDisruptionStartAt(sinceMillis, History.EVERYTHING, true));
   }
 
-  /** Notes that the soak itself passed something on late, which no node could hasten. */
-  void heldUp(String what, long sinceMillis) {
-    disruptionEnds(disruptionBegan(sinceMillis, what, false));
+  /** Records that the soak's proxy forwarded data late, a delay that no node can avoid. */
+  void recordForwardingDelay(String what, long sinceMillis) {
+    recordDisruptionEnd(recordDisruptionStartAt(sinceMillis, what, false));
   }
 
   @Override
--- a/soak/src/main/java/org/lockdale/soak/run/Operator.java
+++ b/soak/src/main/java/org/lockdale/soak/run/Operator.java
@@ -13,42 +13,42 @@
 import org.lockdale.soak.plan.Fault.OperatorChange;
 import org.lockdale.soak.standin.StandardStreams;
 
-/** Writes configurations and names weights. Thread-safe. */
+/** Writes configurations and the target version of the weights into the store. Thread-safe. */
 final class Operator {
 
   /** Host of all routes. */
   static final String HOST = "shop.example";
 
-  /** Tenant whose key is replaced now and then. */
+  /** Tenant whose key is replaced from time to time. */
   static final String CHANGING_TENANT = "tenant-changing";
 
-  /** Key of a tenant that shares no cached prompts. */
+  /** Key of the tenant that shares no cached prompts with others. */
   static final String ISOLATED_KEY = "key-isolated";
 
-  /** Key that holds in every configuration. */
+  /** Key that is valid in every configuration. */
   static final String STEADY_KEY = "key-steady";
 
   private static final String ISOLATED_TENANT = "tenant-isolated";
   private static final long TIMEOUT_MILLIS = 4_000;
-  private static final int ATTEMPTS = 2;
+  private static final int MAX_ATTEMPTS = 2;
 
-  /** A route; its path begins with its name. */
+  /** A route; the prefix of its path is its name. */
   private record Route(RequestKind kind, String service) {}
 
   private final NoteLog notes;
   private final StoreControl store;
-  private final String cacheStore;
+  private final String cacheStoreAddress;
   private final Map<String, Route> routes = new LinkedHashMap<>();
   private String changingKey = "key-changing-1";
   private String replacedKey = changingKey;
-  private long version;
-  private long weights = 1;
-  private int added;
+  private long configurationVersion;
+  private long targetVersion = 1;
+  private int addedRoutes;
 
   Operator(NoteLog notes, StoreControl store, String cacheStore) {
     this.notes = notes;
     this.store = store;
-    this.cacheStore = cacheStore;
+    this.cacheStoreAddress = cacheStore;
     routes.put("safe", new Route(RequestKind.SAFE, "plain"));
     routes.put("unsafe", new Route(RequestKind.UNSAFE, "plain"));
     routes.put("moving", new Route(RequestKind.UNSAFE, "plain"));
@@ -56,71 +56,71 @@
     routes.put("resumable", new Route(RequestKind.RESUMABLE, "engines"));
   }
 
-  /** Returns the key of the changing tenant that was given out last. */
+  /** Returns the current key of the changing tenant. */
   synchronized String changingKey() {
     return changingKey;
   }
 
-  /** Returns the key that the changing tenant had before. */
+  /** Returns the previous key of the changing tenant; the first key until it is replaced. */
   synchronized String replacedKey() {
     return replacedKey;
   }
 
-  /** Returns the name of the route added last, whether it still exists or not. */
+  /** Returns the name of the route that was added last, even if it was removed since. */
   synchronized String addedRoute() {
-    return "added-" + added;
+    return "added-" + addedRoutes;
   }
 
-  /** Returns the newest weights that were named. */
-  synchronized long weights() {
-    return weights;
+  /** Returns the target version of the weights. */
+  synchronized long targetVersion() {
+    return targetVersion;
   }
 
-  /** Writes the first configuration and names the first weights. */
-  synchronized void begin() {
-    nameWeights();
-    configure().join();
+  /** Writes the first target version and the first configuration, and waits for the latter. */
+  synchronized void writeInitialState() {
+    writeTargetVersion();
+    writeConfiguration().join();
   }
 
-  /** Makes a change. */
-  synchronized void change(OperatorChange change) {
+  /** Applies a change and writes it to the store without waiting. */
+  synchronized void apply(OperatorChange change) {
     switch (change) {
       case KEY_REPLACED -> {
         replacedKey = changingKey;
-        changingKey = "key-changing-" + (version + 1);
+        changingKey = "key-changing-" + (configurationVersion + 1);
       }
       case ROUTE_MOVED -> {
         String service = routes.get("moving").service().equals("plain") ? "spare" : "plain";
         routes.put("moving", new Route(RequestKind.UNSAFE, service));
       }
       case ROUTE_ADDED -> {
-        added++;
+        addedRoutes++;
         routes.put(addedRoute(), new Route(RequestKind.SAFE, "spare"));
       }
       case ROUTE_REMOVED -> routes.remove(addedRoute());
       case WEIGHTS_NAMED -> {
-        weights++;
-        nameWeights();
+        targetVersion++;
+        writeTargetVersion();
         return;
       }
     }
-    configure();
+    writeConfiguration();
   }
 
-  private void nameWeights() {
-    long named = weights;
+  private void writeTargetVersion() {
+    long version = targetVersion;
     ObjectNode body = StandardStreams.MAPPER.createObjectNode();
-    body.put("model", Processes.MODEL).put("version", named);
+    body.put("model", Processes.MODEL).put("version", version);
     store
         .put("op", "version/" + Processes.MODEL, body.toString())
-        .thenAccept(at -> notes.add(new Note.WeightsAcknowledged(at, Processes.MODEL, named)));
+        .thenAccept(at -> notes.add(new Note.WeightsAcknowledged(at, Processes.MODEL, version)));
   }
 
-  private CompletableFuture<Void> configure() {
-    long written = ++version;
+  private CompletableFuture<Void> writeConfiguration() {
+    long written = ++configurationVersion;
     notes.add(new Note.ConfigurationSent(StandardStreams.nowMillis(), facts()));
     return store
-        .put("op", "config", json())
+        .put("op", "config", configurationJson())
         .thenAccept(at -> notes.add(new Note.ConfigurationAcknowledged(at, written)));
   }
 
@@ -133,14 +133,16 @@
     Map<String, RouteFacts> facts = new LinkedHashMap<>();
     routes.forEach(
         (name, route) ->
-            facts.put("/" + name + "/", new RouteFacts(route.service(), TIMEOUT_MILLIS, ATTEMPTS)));
-    return new ConfigurationFacts(version, facts, tenants(), Set.of(ISOLATED_TENANT));
+            facts.put(
+                "/" + name + "/", new RouteFacts(route.service(), TIMEOUT_MILLIS, MAX_ATTEMPTS)));
+    return new ConfigurationFacts(configurationVersion, facts, tenants(), Set.of(ISOLATED_TENANT));
   }
 
-  private String json() {
-    ObjectNode root = StandardStreams.MAPPER.createObjectNode().put("version", version);
+  private String configurationJson() {
+    ObjectNode root =
+        StandardStreams.MAPPER.createObjectNode().put("version", configurationVersion);
     ArrayNode list = root.putArray("routes");
-    routes.forEach((name, route) -> write(list.addObject(), name, route));
+    routes.forEach((name, route) -> writeRoute(list.addObject(), name, route));
     ArrayNode services = root.putArray("services");
     for (String service : Set.of("plain", "spare")) {
       services.addObject().put("name", service).put("maxConnections", 100);
@@ -150,7 +152,7 @@
     services
         .addObject()
         .put("name", "prompts")
-        .put("kvStoreAddr", cacheStore)
+        .put("kvStoreAddr", cacheStoreAddress)
         .put("zone", "zone-a");
     ArrayNode tenants = root.putArray("tenants");
     tenants()
@@ -165,7 +167,7 @@
     return root.toString();
   }
 
-  private static void write(ObjectNode json, String name, Route route) {
+  private static void writeRoute(ObjectNode json, String name, Route route) {
     String kind =
         route.kind().isStreaming()
             ? "streaming"
@@ -178,7 +180,7 @@
         .put("timeoutMs", TIMEOUT_MILLIS)
         .put("targetLatencyMs", 800)
         .put("gapTargetMs", 500)
-        .put("maxAttempts", ATTEMPTS)
+        .put("maxAttempts", MAX_ATTEMPTS)
         .put("priority", 1);
     if (route.kind() == RequestKind.RESUMABLE) {
       json.put("resumable", true);
--- a/soak/src/main/java/org/lockdale/soak/run/PlanFile.java
+++ b/soak/src/main/java/org/lockdale/soak/run/PlanFile.java
@@ -11,20 +11,21 @@
 import org.lockdale.soak.standin.StandardStreams;
 
 /**
- * A plan of faults as a file: a line of JSON with the seed, the length and the deployment, then one
- * for each fault. Played again it is the same plan, whatever is drawn from its seed by then.
+ * A fault plan and its deployment, as stored in a file of JSON lines: first the seed, the length
+ * and the deployment, then a line for each fault. A stored plan stays the same even if a later
+ * version of the code draws other faults from its seed.
  *
  * @param plan the plan
- * @param deployment processes that it was drawn for
+ * @param deployment processes for which the plan was drawn
  */
 record PlanFile(FaultPlan plan, Deployment deployment) {
 
-  /** Name of the file in the directory of a run. */
+  /** Name of the plan's file in the directory of a run. */
   static final String NAME = "plan.jsonl";
 
   private record Head(long seed, long lengthMillis, Deployment deployment) {}
 
-  /** Reads a plan. */
+  /** Reads a plan from a file. */
   static PlanFile read(Path path) throws IOException {
     List<String> lines = Files.readAllLines(path);
     Head head = StandardStreams.parse(lines.get(0), Head.class);
@@ -36,7 +37,7 @@
     return new PlanFile(new FaultPlan(head.seed(), head.lengthMillis(), faults), head.deployment());
   }
 
-  /** Writes the plan. */
+  /** Writes the plan to a file. */
   void write(Path path) throws IOException {
     List<String> lines = new ArrayList<>();
     lines.add(StandardStreams.json(new Head(plan.seed(), plan.lengthMillis(), deployment)));
--- a/soak/src/main/java/org/lockdale/soak/run/Processes.java
+++ b/soak/src/main/java/org/lockdale/soak/run/Processes.java
@@ -19,12 +19,12 @@
 import org.lockdale.soak.link.LinkProxy;
 import org.lockdale.soak.plan.Deployment;
 import org.lockdale.soak.standin.Addresses;
-import org.lockdale.soak.standin.Guard;
+import org.lockdale.soak.standin.NodeReaper;
 import org.lockdale.soak.standin.ServerBase;
 import org.lockdale.soak.standin.StandInProcess;
 import org.lockdale.soak.standin.StandardStreams;
 
-/** Starts the processes of a run, each behind the proxy, and reads what the stand-ins say. */
+/** Starts the processes of a run, each behind the proxy, and processes the stand-ins' output. */
 final class Processes implements Closeable {
 
   /** Model that all engines serve. */
@@ -35,15 +35,24 @@
   private static final int STORES_GROUP = 3;
   private static final int STORE_LINKS_GROUP = 4;
 
-  /** How a server shows itself in the store. */
+  /** State of a server's entry in the store. */
   enum Visibility {
     READY,
     DRAINING,
-    /** It has no entry, whatever its heartbeats say. */
+    /** The server has no entry, even if it sends heartbeats. */
     HIDDEN
   }
 
-  /** A server as it runs now, with the row that it said last. */
+  /**
+   * The current incarnation of a server.
+   *
+   * @param id id of the server
+   * @param startedAtMillis Unix time of its start
+   * @param process its process
+   * @param lastBeatMillis time of its last heartbeat, or of its start
+   * @param visibility state of its entry in the store
+   * @param row JSON of its last heartbeat; an empty object before the first one
+   */
   record Server(
       String id,
       long startedAtMillis,
@@ -52,20 +61,20 @@
       Visibility visibility,
       String row) {
 
-    Server withBeat(long millis, String newRow) {
+    Server withHeartbeat(long millis, String newRow) {
       return new Server(id, startedAtMillis, process, millis, visibility, newRow);
     }
 
-    Server with(Visibility newVisibility) {
+    Server withVisibility(Visibility newVisibility) {
       return new Server(id, startedAtMillis, process, lastBeatMillis, newVisibility, row);
     }
 
-    /** Returns the name of this life in notes. */
+    /** Returns the name of this incarnation in notes. */
     String instance() {
-      return ServerBase.nameOf(id, startedAtMillis);
+      return ServerBase.instanceName(id, startedAtMillis);
     }
 
-    /** Returns the version of the weights that it told last, or 0 for none. */
+    /** Returns the version of the weights that it reported last, or 0 for none. */
     long weights() {
       return StandardStreams.parse(row, ObjectNode.class)
           .path("models")
@@ -78,78 +87,78 @@
   private final Addresses addresses = Addresses.claim();
   private final LinkProxy proxy;
   private final Deployment deployment;
-  private final NodeBuilds builds;
-  private final Map<String, String> bounds;
+  private final NodeBuilds nodeBuilds;
+  private final Map<String, String> settingsValues;
   private final Path directory;
   private final NoteLog notes;
-  private final Map<String, InetSocketAddress> reals = new HashMap<>();
-  private final Map<String, ManagedProcess> all = new ConcurrentHashMap<>();
+  private final Map<String, InetSocketAddress> realAddresses = new HashMap<>();
+  private final Map<String, ManagedProcess> processes = new ConcurrentHashMap<>();
   private boolean closed;
   private final Map<String, Server> servers = new ConcurrentHashMap<>();
-  private final Map<String, Integer> incarnations = new ConcurrentHashMap<>();
+  private final Map<String, Integer> idCounts = new ConcurrentHashMap<>();
 
-  /** Ids of the notes that nodes run a former build. */
-  private final Map<String, Long> formerNotes = new ConcurrentHashMap<>();
+  /** Ids of the recorded disruptions of nodes that run a former build, by node. */
+  private final Map<String, Long> formerBuildDisruptions = new ConcurrentHashMap<>();
 
   private volatile @Nullable StoreControl store;
 
   Processes(
       Deployment deployment,
-      NodeBuilds builds,
-      Map<String, String> bounds,
+      NodeBuilds nodeBuilds,
+      Map<String, String> settingsValues,
       Path directory,
       NoteLog notes) {
     this.deployment = deployment;
-    this.builds = builds;
-    this.bounds = bounds;
+    this.nodeBuilds = nodeBuilds;
+    this.settingsValues = settingsValues;
     this.directory = directory;
     this.notes = notes;
-    this.proxy = new LinkProxy(notes::heldUp);
-    place(deployment.nodeNames(), NODES_GROUP);
-    place(deployment.serverNames(), SERVERS_GROUP);
-    place(List.of(Deployment.STORE, Deployment.CACHE_STORE), STORES_GROUP);
-    deployment.nodeNames().forEach(this::proxyNode);
+    this.proxy = new LinkProxy(notes::recordForwardingDelay);
+    assignAddresses(deployment.nodeNames(), NODES_GROUP);
+    assignAddresses(deployment.serverNames(), SERVERS_GROUP);
+    assignAddresses(List.of(Deployment.STORE, Deployment.CACHE_STORE), STORES_GROUP);
+    deployment.nodeNames().forEach(this::listenForNode);
     List<String> servers = new ArrayList<>(deployment.serverNames());
     servers.add(Deployment.CACHE_STORE);
     for (String server : servers) {
-      proxy.listen(null, server, Addresses.proxied(realOf(server)), realOf(server));
+      proxy.listen(null, server, Addresses.proxied(realAddress(server)), realAddress(server));
     }
   }
 
-  private void proxyNode(String node) {
+  private void listenForNode(String node) {
     for (int port : List.of(Addresses.SERVICE_PORT, Addresses.READY_PORT)) {
-      proxy.listen(Deployment.CALLERS, node, proxied(node, port), at(node, port));
+      proxy.listen(Deployment.CALLERS, node, proxiedAddress(node, port), realAddressAt(node, port));
     }
-    InetSocketAddress peers = at(node, Addresses.PEERS_PORT);
+    InetSocketAddress peers = realAddressAt(node, Addresses.PEERS_PORT);
     proxy.listen(null, node, Addresses.proxied(peers), peers);
     proxy.listenForDatagrams(node, Addresses.proxied(peers), peers);
-    proxy.listen(node, Deployment.STORE, storeOf(node), realOf(Deployment.STORE));
+    proxy.listen(node, Deployment.STORE, storeAddressFor(node), realAddress(Deployment.STORE));
   }
 
-  /** Returns the address by which only one node reaches the store. */
-  private InetSocketAddress storeOf(String node) {
+  /** Returns the proxied address of the store that is used only by the given node. */
+  private InetSocketAddress storeAddressFor(String node) {
     int number = deployment.nodeNames().indexOf(node) + 1;
     return Addresses.proxied(addresses.real(STORE_LINKS_GROUP, number, Addresses.SERVICE_PORT));
   }
 
-  private void place(List<String> names, int group) {
+  private void assignAddresses(List<String> names, int group) {
     int number = 0;
     for (String name : names) {
-      reals.put(name, addresses.real(group, ++number, Addresses.SERVICE_PORT));
+      realAddresses.put(name, addresses.real(group, ++number, Addresses.SERVICE_PORT));
     }
   }
 
-  private InetSocketAddress at(String name, int port) {
-    return new InetSocketAddress(realOf(name).getAddress(), port);
+  private InetSocketAddress realAddressAt(String name, int port) {
+    return new InetSocketAddress(realAddress(name).getAddress(), port);
   }
 
-  private InetSocketAddress realOf(String name) {
-    return Objects.requireNonNull(reals.get(name), name);
+  private InetSocketAddress realAddress(String name) {
+    return Objects.requireNonNull(realAddresses.get(name), name);
   }
 
-  /** Returns the address by which callers reach a port of a process. */
-  InetSocketAddress proxied(String name, int port) {
-    return Addresses.proxied(at(name, port));
+  /** Returns the proxied address of a port of a process. */
+  InetSocketAddress proxiedAddress(String name, int port) {
+    return Addresses.proxied(realAddressAt(name, port));
   }
 
   LinkProxy proxy() {
@@ -161,11 +170,11 @@
   }
 
   ManagedProcess process(String name) {
-    return Objects.requireNonNull(all.get(name), name);
+    return Objects.requireNonNull(processes.get(name), name);
   }
 
-  List<ManagedProcess> running() {
-    return new ArrayList<>(all.values());
+  List<ManagedProcess> processes() {
+    return new ArrayList<>(processes.values());
   }
 
   Map<String, Server> servers() {
@@ -175,13 +184,13 @@
   void startStore() throws IOException {
     StoreControl[] control = new StoreControl[1];
     ManagedProcess process =
-        standIn(
+        startStandIn(
             Deployment.STORE,
             line -> {
               while (control[0] == null) {
                 Thread.onSpinWait();
               }
-              control[0].hear(line);
+              control[0].receive(line);
             },
             "store");
     control[0] = new StoreControl(process);
@@ -189,16 +198,16 @@
   }
 
   void startCacheStore() throws IOException {
-    standIn(Deployment.CACHE_STORE, line -> {}, "cache-store", Deployment.CACHE_STORE, "1");
+    startStandIn(Deployment.CACHE_STORE, line -> {}, "cache-store", Deployment.CACHE_STORE, "1");
   }
 
-  /** Starts a server under a new id. */
+  /** Starts a server with a new id. */
   void startServer(String name, long weights) throws IOException {
-    startServer(name, name + "." + incarnations.merge(name, 1, Integer::sum), weights);
+    startServer(name, name + "." + idCounts.merge(name, 1, Integer::sum), weights);
   }
 
-  /** Starts a server again under the id that it had, with the weights that it had. */
-  void startServerAgain(String name) throws IOException {
+  /** Starts a server again with the id and the weights that it had. */
+  void restartServer(String name) throws IOException {
     Server before = Objects.requireNonNull(servers.get(name));
     startServer(name, before.id(), Math.max(1, before.weights()));
   }
@@ -206,20 +215,21 @@
   private void startServer(String name, String id, long weights) throws IOException {
     long startedAt = System.currentTimeMillis();
     String start = Long.toString(startedAt);
-    String instance = ServerBase.nameOf(id, startedAt);
+    String instance = ServerBase.instanceName(id, startedAt);
     String service = serviceOf(name);
     ManagedProcess process =
         name.startsWith("engine")
-            ? standIn(
+            ? startStandIn(
                 name,
-                line -> hear(name, instance, line),
+                line -> receive(name, instance, line),
                 "engine",
                 id,
                 start,
                 service,
                 MODEL,
                 Long.toString(weights))
-            : standIn(name, line -> hear(name, instance, line), "plain", id, start, service);
+            : startStandIn(
+                name, line -> receive(name, instance, line), "plain", id, start, service);
     servers.put(
         name,
         new Server(id, startedAt, process, StandardStreams.nowMillis(), Visibility.READY, "{}"));
@@ -229,9 +239,9 @@
     return name.startsWith("engine") ? "engines" : name.startsWith("plain") ? "plain" : "spare";
   }
 
-  private ManagedProcess standIn(
+  private ManagedProcess startStandIn(
       String name, Consumer<String> output, String kind, String... arguments) throws IOException {
-    InetSocketAddress real = realOf(name);
+    InetSocketAddress real = realAddress(name);
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(List.of("-Xmx64m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"));
@@ -239,25 +249,25 @@
     command.add(StandInProcess.class.getName());
     command.addAll(List.of(kind, real.getAddress().getHostAddress(), "" + real.getPort()));
     command.addAll(List.of(arguments));
-    return start(name, builds.root(), command, output);
+    return start(name, nodeBuilds.root(), command, output);
   }
 
   /** Starts a gateway node. */
   void startNode(String name) throws IOException {
     Path settings = directory.resolve(name + ".yaml");
-    Map<String, String> values = new HashMap<>(bounds);
+    Map<String, String> values = new HashMap<>(settingsValues);
     values.put("nodeName", name);
     values.put("zone", "zone-a");
-    values.put("ip", realOf(name).getAddress().getHostAddress());
+    values.put("ip", realAddress(name).getAddress().getHostAddress());
     values.put("limits.linkMbps", "1000.0");
     values.put("limits.cpuCores", "1");
-    values.put("listen.front", Addresses.text(at(name, Addresses.SERVICE_PORT)));
-    values.put("listen.ready", Addresses.text(at(name, Addresses.READY_PORT)));
+    values.put("listen.front", Addresses.format(realAddressAt(name, Addresses.SERVICE_PORT)));
+    values.put("listen.ready", Addresses.format(realAddressAt(name, Addresses.READY_PORT)));
     values.put("internalPortRange.0", Integer.toString(Addresses.PEERS_PORT));
-    values.put("platform.address", Addresses.text(storeOf(name)));
-    NodeBuilds.Build build = builds.next(name);
+    values.put("platform.address", Addresses.format(storeAddressFor(name)));
+    NodeBuilds.Build build = nodeBuilds.nextBuild(name);
     build.program().writeSettings(settings, values);
-    noteBuild(name, build);
+    recordBuild(name, build);
     notes.add(new Note.Started(StandardStreams.nowMillis(), name));
     ManagedProcess node =
         start(
@@ -265,52 +275,55 @@
             build.program().root(),
             build.program().command(settings, values),
             new NodeOutput(name, directory.resolve(name + ".out"), notes));
-    process(Deployment.CACHE_STORE).say(Guard.COMMAND + node.id());
+    process(Deployment.CACHE_STORE).send(NodeReaper.COMMAND + node.pid());
   }
 
-  private void noteBuild(String node, NodeBuilds.Build build) {
-    Long before = formerNotes.remove(node);
-    if (before != null) {
-      notes.disruptionEnds(before);
+  private void recordBuild(String node, NodeBuilds.Build build) {
+    Long disruption = formerBuildDisruptions.remove(node);
+    if (disruption != null) {
+      notes.recordDisruptionEnd(disruption);
     }
     if (build.isFormer()) {
-      formerNotes.put(node, notes.disruptionBegins(History.former(node), false));
+      formerBuildDisruptions.put(node, notes.recordDisruptionStart(History.former(node), false));
     }
   }
 
-  /** Once closed, nothing is started any more: a fault that is due later would leave it behind. */
+  /**
+   * Starts a process. Fails once this is closed, since a process that a pending fault starts after
+   * that would outlive the run.
+   */
   private synchronized ManagedProcess start(
       String name, Path root, List<String> command, Consumer<String> output) throws IOException {
     if (closed) {
-      throw new IOException("the run has ended, so " + name + " is not started");
+      throw new IOException("the run has ended; " + name + " is not started");
     }
     ManagedProcess process =
         ManagedProcess.start(name, command, root, directory.resolve(name + ".log"), output);
-    all.put(name, process);
-    proxy.setProcess(name, process.id());
+    processes.put(name, process);
+    proxy.setProcess(name, process.pid());
     return process;
   }
 
-  private void hear(String name, String instance, String line) {
+  private void receive(String name, String instance, String line) {
     if (line.startsWith(StandardStreams.NOTE)) {
       Note note = StandardStreams.parse(line.substring(StandardStreams.NOTE.length()), Note.class);
       notes.add(note);
       if (note instanceof Note.Crashed) {
-        process(name).expectEnd();
+        process(name).expectExit();
       }
     } else if (line.startsWith(StandardStreams.ROW)) {
-      beat(name, instance, line.substring(StandardStreams.ROW.length()));
+      recordHeartbeat(name, instance, line.substring(StandardStreams.ROW.length()));
     }
   }
 
-  private void beat(String name, String instance, String row) {
+  private void recordHeartbeat(String name, String instance, String row) {
     Server server =
         servers.computeIfPresent(
             name,
-            (key, known) ->
-                known.instance().equals(instance)
-                    ? known.withBeat(StandardStreams.nowMillis(), row)
-                    : known);
+            (key, current) ->
+                current.instance().equals(instance)
+                    ? current.withHeartbeat(StandardStreams.nowMillis(), row)
+                    : current);
     if (server != null
         && server.instance().equals(instance)
         && server.visibility() != Visibility.HIDDEN) {
@@ -321,19 +334,24 @@
   private String rowOf(String name, Server server) {
     return StandardStreams.parse(server.row(), ObjectNode.class)
         .put("service", serviceOf(name))
-        .put("address", Addresses.text(proxied(name, Addresses.SERVICE_PORT)))
+        .put("address", Addresses.format(proxiedAddress(name, Addresses.SERVICE_PORT)))
         .put("zone", "zone-a")
         .put("version", "1")
         .put("state", server.visibility() == Visibility.READY ? "ready" : "draining")
         .toString();
   }
 
-  /** Says that a server leaves, or removes its entry; the result is when that was acknowledged. */
+  /**
+   * Marks the entry of a server as draining, or removes it.
+   *
+   * @param announced whether the entry is marked; otherwise it is removed
+   * @return the time in milliseconds at which the store acknowledged it
+   */
   CompletableFuture<Long> withdraw(String name, boolean announced) {
     Visibility visibility = announced ? Visibility.DRAINING : Visibility.HIDDEN;
     Server server =
         Objects.requireNonNull(
-            servers.computeIfPresent(name, (key, known) -> known.with(visibility)));
+            servers.computeIfPresent(name, (key, current) -> current.withVisibility(visibility)));
     return announced
         ? store().put("servers", server.id(), rowOf(name, server))
         : store().remove("servers", server.id());
@@ -342,8 +360,8 @@
   @Override
   public synchronized void close() {
     closed = true;
-    all.values().forEach(ManagedProcess::close);
-    all.values().forEach(ManagedProcess::awaitKilled);
+    processes.values().forEach(ManagedProcess::close);
+    processes.values().forEach(ManagedProcess::awaitExitAfterKill);
     proxy.close();
   }
 }
--- a/soak/src/main/java/org/lockdale/soak/run/SoakCommand.java
+++ b/soak/src/main/java/org/lockdale/soak/run/SoakCommand.java
@@ -18,25 +18,25 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs seeds one after the other until the time is up or a rule is broken. */
+/** Runs one seed after another until the time is up or a rule is violated. */
 @Command(
     name = "soak",
     mixinStandardHelpOptions = true,
-    description = "Runs gateway nodes under random faults and judges what callers and servers saw.")
+    description = "Runs gateway nodes under random faults and checks what callers and servers saw.")
 public final class SoakCommand implements Callable<Integer> {
 
-  private static final int BROKEN = 1;
+  private static final int VIOLATION_STATUS = 1;
 
   @Option(names = "--minutes", defaultValue = "10", description = "Time for all seeds.")
   private double minutes;
 
-  @Option(names = "--seed", description = "First seed; by default drawn from the clock.")
+  @Option(names = "--seed", description = "First seed; by default taken from the clock.")
   private Long seed;
 
   @Option(names = "--seconds", defaultValue = "60", description = "Length of each seed's run.")
   private long seconds;
 
-  @Option(names = "--seeds", defaultValue = "1000000", description = "Most seeds.")
+  @Option(names = "--seeds", defaultValue = "1000000", description = "Maximum number of seeds.")
   private int seeds;
 
   @Option(names = "--nodes", defaultValue = "3", description = "Gateway nodes.")
@@ -45,29 +45,32 @@
   @Option(names = "--engines", defaultValue = "3", description = "Model servers.")
   private int engines;
 
-  @Option(names = "--go-on", description = "Goes on with the next seed after a break.")
-  private boolean goOn;
+  @Option(names = "--go-on", description = "Continues with the next seed after a rule violation.")
+  private boolean continueOnViolation;
 
   @Option(
       names = "--tell",
       description = "A wrong bound for the nodes, such as bounds.versionMs=60000.")
   private Map<String, String> told = new HashMap<>();
 
-  @Option(
-      names = "--former",
-      description = "Root of a former build, which runs beside the present one.")
+  @Option(names = "--former", description = "Root of a former build to run beside the current one.")
   private @Nullable Path former;
 
-  @Option(names = "--plan", description = "Plays a kept plan.jsonl, whatever its seed draws now.")
+  @Option(
+      names = "--plan",
+      description = "Runs a recorded plan.jsonl, whatever its seed draws now.")
   private @Nullable Path planFile;
 
-  @Option(names = "--judge", description = "Judges a kept notes.jsonl again and runs nothing.")
+  @Option(names = "--judge", description = "Checks a recorded notes.jsonl again and runs nothing.")
   private @Nullable Path kept;
 
-  @Option(names = "--directory", defaultValue = "target/soak", description = "For logs.")
+  @Option(
+      names = "--directory",
+      defaultValue = "target/soak",
+      description = "Directory for plans, notes and logs.")
   private Path directory;
 
-  /** Runs the command line. */
+  /** Runs the command line and exits with 0, or with 1 after a rule violation. */
   public static void main(String[] arguments) {
     System.exit(new CommandLine(new SoakCommand()).execute(arguments));
   }
@@ -75,49 +78,50 @@
   @Override
   public Integer call() throws Exception {
     if (kept != null) {
-      return judgeKept(kept);
+      return checkRecordedEvents(kept);
     }
     if (planFile != null) {
       PlanFile read = PlanFile.read(planFile);
       String name = planFile.getFileName().toString().replace(".jsonl", "");
-      return play(read.plan(), read.deployment(), name) ? 0 : BROKEN;
+      return runPlan(read.plan(), read.deployment(), name) ? 0 : VIOLATION_STATUS;
     }
     long first = seed == null ? System.currentTimeMillis() : seed;
     long end = System.nanoTime() + Duration.ofMillis((long) (minutes * 60_000)).toNanos();
     Deployment deployment = new Deployment(nodes, engines, 1);
-    int broken = 0;
+    int violated = 0;
     for (int index = 0; index < seeds && System.nanoTime() < end; index++) {
-      long drawn = first + index;
-      FaultPlan plan = FaultPlan.draw(drawn, seconds * 1_000, deployment);
-      if (!play(plan, deployment, "seed-" + drawn)) {
-        broken++;
-        if (!goOn) {
-          return BROKEN;
+      long planSeed = first + index;
+      FaultPlan plan = FaultPlan.draw(planSeed, seconds * 1_000, deployment);
+      if (!runPlan(plan, deployment, "seed-" + planSeed)) {
+        violated++;
+        if (!continueOnViolation) {
+          return VIOLATION_STATUS;
         }
       }
     }
-    return broken > 0 ? BROKEN : 0;
+    return violated > 0 ? VIOLATION_STATUS : 0;
   }
 
-  private static int judgeKept(Path notes) throws IOException {
+  private static int checkRecordedEvents(Path notes) throws IOException {
     History history = NoteLog.read(SoakRun.BOUNDS, notes);
-    List<RuleBreak> breaks = Judge.breaks(history);
+    List<RuleBreak> violations = Judge.breaks(history);
     System.out.println(CrashCounts.of(history));
-    breaks.forEach(System.out::println);
-    return breaks.isEmpty() ? 0 : BROKEN;
+    violations.forEach(System.out::println);
+    return violations.isEmpty() ? 0 : VIOLATION_STATUS;
   }
 
-  /** Plays a plan and returns whether no rule was broken. */
-  private boolean play(FaultPlan plan, Deployment deployment, String name)
+  /** Runs a plan, prints its result, and returns whether no rule was violated. */
+  private boolean runPlan(FaultPlan plan, Deployment deployment, String name)
       throws IOException, InterruptedException {
-    Path place = directory.toAbsolutePath().resolve(name);
+    Path runDirectory = directory.toAbsolutePath().resolve(name);
     SoakResult result =
-        new SoakRun(plan, deployment, Path.of("").toAbsolutePath(), place, told, former).run();
+        new SoakRun(plan, deployment, Path.of("").toAbsolutePath(), runDirectory, told, former)
+            .run();
     System.out.print(result.text());
     if (result.breaks().isEmpty()) {
       return true;
     }
-    System.out.println("kept: " + place);
+    System.out.println("kept: " + runDirectory);
     return false;
   }
 }
--- a/soak/src/main/java/org/lockdale/soak/run/SoakResult.java
+++ b/soak/src/main/java/org/lockdale/soak/run/SoakResult.java
@@ -4,28 +4,28 @@
 import org.lockdale.soak.judge.RuleBreak;
 
 /**
- * What came out of a run.
+ * The result of a run.
  *
- * @param seed seed of its plan
- * @param faults faults that were injected
- * @param sent requests that callers sent
- * @param served requests that were answered with a whole success
+ * @param seed seed of the plan
+ * @param faults number of injected faults
+ * @param sent number of requests that callers sent
+ * @param served number of requests with a complete response of status 200
  * @param counts all counts as text
- * @param breaks rules that were broken; empty for none
+ * @param breaks rule violations; empty for none
  */
 public record SoakResult(
     long seed, int faults, int sent, int served, String counts, List<RuleBreak> breaks) {
 
-  /** Copies the breaks. */
+  /** Copies the list of violations. */
   public SoakResult {
     breaks = List.copyOf(breaks);
   }
 
-  /** Returns a line of counts and a line for each break. */
+  /** Returns a line of counts, followed by a line for each rule violation. */
   public String text() {
     StringBuilder text = new StringBuilder("seed=" + seed + " faults=" + faults + " " + counts);
     text.append(" breaks=").append(breaks.size()).append('\n');
-    breaks.forEach(broken -> text.append("  ").append(broken).append('\n'));
+    breaks.forEach(violation -> text.append("  ").append(violation).append('\n'));
     return text.toString();
   }
 }
--- a/soak/src/main/java/org/lockdale/soak/run/SoakRun.java
+++ b/soak/src/main/java/org/lockdale/soak/run/SoakRun.java
@@ -18,54 +18,55 @@
 import org.lockdale.soak.standin.StallWatch;
 import org.lockdale.soak.standin.StandardStreams;
 
-/** One run: a deployment, traffic, the faults of a plan, and the judge beside them. */
+/** One run: a deployment with traffic, the faults of a plan, and continuous checks of the rules. */
 public final class SoakRun {
 
-  /** Free repeated sends of a run; small, since a run sends only some 40 requests a second. */
+  /** Retries beyond the ratio; few, since a run sends only about 40 requests per second. */
   private static final int RETRY_SLACK = 12;
 
-  private static final int CALLERS_OF_EACH_NODE = 6;
+  private static final int CALLERS_PER_NODE = 6;
   private static final long CHECK_MILLIS = 1_000;
-  private static final long START_MILLIS = 60_000;
+  private static final long START_TIMEOUT_MILLIS = 60_000;
 
-  /** Time after the last request until all notes of it have come and weigh with the judge. */
+  /** Time after the last request until all its notes have arrived and the checks apply to them. */
   private static final long SETTLE_MILLIS = 3_000;
 
-  /** Bounds that runs are judged by. */
+  /** Bounds that runs are checked against. */
   static final Bounds BOUNDS = Bounds.standard().withRetrySlack(RETRY_SLACK);
 
   private final FaultPlan plan;
   private final Deployment deployment;
   private final Path root;
   private final Path directory;
-  private final Map<String, String> told;
+  private final Map<String, String> boundOverrides;
   private final @Nullable Path former;
 
   /**
    * Creates a run.
    *
-   * @param told bounds that the nodes are told in place of the judge's, by their names in the
-   *     deployment's settings; with wrong ones a run shows that the judge catches what follows
+   * @param boundOverrides bounds for the nodes that replace those of the checks, by their names in
+   *     the deployment's settings; wrong ones show that the checks detect the violations
    * @param root directory of the repository, with the built gateway
    * @param directory where plan, notes and logs are written
-   * @param former directory of a former build that runs beside the present one, or null for none
+   * @param former repository directory of a former build to run beside the current one, or null for
+   *     none
    */
   public SoakRun(
       FaultPlan plan,
       Deployment deployment,
       Path root,
       Path directory,
-      Map<String, String> told,
+      Map<String, String> boundOverrides,
       @Nullable Path former) {
     this.plan = plan;
     this.deployment = deployment;
     this.root = root;
     this.directory = directory;
-    this.told = Map.copyOf(told);
+    this.boundOverrides = Map.copyOf(boundOverrides);
     this.former = former;
   }
 
-  /** Runs the plan and returns what was broken; stops at the first break. */
+  /** Runs the plan, stops at the first rule violation, and returns the result. */
   public SoakResult run() throws IOException, InterruptedException {
     Files.createDirectories(directory);
     new PlanFile(plan, deployment).write(directory.resolve(PlanFile.NAME));
@@ -73,13 +74,13 @@
         Processes processes =
             new Processes(
                 deployment, NodeBuilds.read(root, former), settings(), directory, notes)) {
-      Thread cleaning = new Thread(processes::close, "cleaning");
-      Runtime.getRuntime().addShutdownHook(cleaning);
+      Thread cleanup = new Thread(processes::close, "cleaning");
+      Runtime.getRuntime().addShutdownHook(cleanup);
       try {
         return run(notes, processes);
       } finally {
         processes.close();
-        Runtime.getRuntime().removeShutdownHook(cleaning);
+        Runtime.getRuntime().removeShutdownHook(cleanup);
       }
     }
   }
@@ -91,53 +92,55 @@
         new Operator(
             notes,
             processes.store(),
-            Addresses.text(processes.proxied(Deployment.CACHE_STORE, Addresses.SERVICE_PORT)));
-    operator.begin();
+            Addresses.format(
+                processes.proxiedAddress(Deployment.CACHE_STORE, Addresses.SERVICE_PORT)));
+    operator.writeInitialState();
     processes.startCacheStore();
     for (String server : deployment.serverNames()) {
-      processes.startServer(server, operator.weights());
+      processes.startServer(server, operator.targetVersion());
     }
     for (String node : deployment.nodeNames()) {
       processes.startNode(node);
     }
-    try (Entrance entrance = new Entrance(processes, deployment.nodeNames());
-        StallWatch watch = new StallWatch(notes::machineStalled)) {
-      await(entrance::allServe);
+    try (LoadBalancer loadBalancer = new LoadBalancer(processes, deployment.nodeNames());
+        StallWatch watch = new StallWatch(notes::recordMachineStall)) {
+      await(loadBalancer::allReady);
       deployment
           .nodeNames()
-          .forEach(node -> notes.disruptionEnds(notes.disruptionBegins(node, false)));
-      return play(notes, processes, operator, entrance);
+          .forEach(node -> notes.recordDisruptionEnd(notes.recordDisruptionStart(node, false)));
+      return runPlan(notes, processes, operator, loadBalancer);
     }
   }
 
-  private SoakResult play(NoteLog notes, Processes processes, Operator operator, Entrance entrance)
+  private SoakResult runPlan(
+      NoteLog notes, Processes processes, Operator operator, LoadBalancer loadBalancer)
       throws InterruptedException, IOException {
-    int number = CALLERS_OF_EACH_NODE * deployment.nodes();
-    try (Callers callers = new Callers(number, plan.seed(), entrance, operator, notes);
+    int number = CALLERS_PER_NODE * deployment.nodes();
+    try (Callers callers = new Callers(number, plan.seed(), loadBalancer, operator, notes);
         FaultInjector injector =
             new FaultInjector(processes, operator, notes, deployment.nodeNames())) {
       long start = StandardStreams.nowMillis();
       long end = start + plan.lengthMillis();
       long nextCheck = start + CHECK_MILLIS;
-      List<RuleBreak> breaks = List.of();
+      List<RuleBreak> violations = List.of();
       int next = 0;
-      for (long now = start; now < end && breaks.isEmpty(); now = StandardStreams.nowMillis()) {
+      for (long now = start; now < end && violations.isEmpty(); now = StandardStreams.nowMillis()) {
         while (next < plan.faults().size() && start + plan.faults().get(next).atMillis() <= now) {
           PlannedFault due = plan.faults().get(next++);
           injector.inject(due.fault());
         }
         if (now >= nextCheck) {
-          breaks = breaks(notes, processes);
+          violations = findViolations(notes, processes);
           nextCheck = StandardStreams.nowMillis() + CHECK_MILLIS;
         }
         Thread.sleep(10);
       }
       callers.close();
-      if (breaks.isEmpty()) {
+      if (violations.isEmpty()) {
         callers.stop();
         Thread.sleep(SETTLE_MILLIS);
         notes.add(new Note.DisruptionEnded(StandardStreams.nowMillis(), 0));
-        breaks = breaks(notes, processes);
+        violations = findViolations(notes, processes);
       }
       SoakResult result =
           new SoakResult(
@@ -150,15 +153,15 @@
                   + processes.proxy().unknownOwners()
                   + " "
                   + notes.crashCounts(),
-              breaks);
+              violations);
       Files.writeString(directory.resolve("result.txt"), result.text());
       return result;
     }
   }
 
-  private static List<RuleBreak> breaks(NoteLog notes, Processes processes) {
-    for (ManagedProcess process : processes.running()) {
-      if (process.endedByItself()) {
+  private static List<RuleBreak> findViolations(NoteLog notes, Processes processes) {
+    for (ManagedProcess process : processes.processes()) {
+      if (process.exitedUnexpectedly()) {
         return List.of(
             new RuleBreak(
                 "FAULT",
@@ -166,12 +169,12 @@
                 "the process ended by itself with status " + process.exitStatus()));
       }
     }
-    return notes.breaks();
+    return notes.findViolations();
   }
 
   private Map<String, String> settings() {
     Map<String, String> settings = new HashMap<>(bounds());
-    settings.putAll(told);
+    settings.putAll(boundOverrides);
     return settings;
   }
 
@@ -187,10 +190,10 @@
   }
 
   private static void await(BooleanSupplier condition) throws InterruptedException {
-    long end = StandardStreams.nowMillis() + START_MILLIS;
+    long end = StandardStreams.nowMillis() + START_TIMEOUT_MILLIS;
     while (!condition.getAsBoolean()) {
       if (StandardStreams.nowMillis() > end) {
-        throw new IllegalStateException("the nodes don't serve; see their logs");
+        throw new IllegalStateException("not all nodes became ready in time; see their logs");
       }
       Thread.sleep(50);
     }
--- a/soak/src/main/java/org/lockdale/soak/run/StoreControl.java
+++ b/soak/src/main/java/org/lockdale/soak/run/StoreControl.java
@@ -8,71 +8,71 @@
 import org.lockdale.soak.standin.StandardStreams;
 import org.tinylog.Logger;
 
-/** The store as the operator and the servers write to it. Thread-safe. */
+/** Writes to the store through commands to its process. Thread-safe. */
 final class StoreControl {
 
   private final ManagedProcess process;
-  private final Map<Long, CompletableFuture<Long>> open = new ConcurrentHashMap<>();
-  private final Map<String, String> written = new HashMap<>();
+  private final Map<Long, CompletableFuture<Long>> pending = new ConcurrentHashMap<>();
+  private final Map<String, String> lastWritten = new HashMap<>();
   private long commands;
 
   StoreControl(ManagedProcess process) {
     this.process = process;
   }
 
-  /** Writes a row; the result is when the store acknowledged it. */
+  /** Writes a row; the future gets the time in milliseconds at which the store acknowledged it. */
   CompletableFuture<Long> put(String table, String key, String json) {
-    return say("put " + table + " " + key + " " + json);
+    return send("put " + table + " " + key + " " + json);
   }
 
-  /** Writes a row unless it already says so, as the platform does with heartbeats. */
+  /** Writes a row unless its value is unchanged, as the platform does with heartbeats. */
   synchronized void putIfChanged(String table, String key, String json) {
-    if (!json.equals(written.put(table + "/" + key, json))) {
+    if (!json.equals(lastWritten.put(table + "/" + key, json))) {
       put(table, key, json);
     }
   }
 
-  /** Removes a row that was written as a heartbeat, if it is still there. */
+  /** Removes a row that {@link #putIfChanged} wrote, unless it was removed already. */
   synchronized void removeIfPresent(String table, String key) {
-    if (written.containsKey(table + "/" + key)) {
+    if (lastWritten.containsKey(table + "/" + key)) {
       remove(table, key);
     }
   }
 
-  /** Removes a row; the result is when the store acknowledged it. */
+  /** Removes a row; the future gets the time in milliseconds at which the store acknowledged it. */
   synchronized CompletableFuture<Long> remove(String table, String key) {
-    written.remove(table + "/" + key);
-    return say("remove " + table + " " + key);
+    lastWritten.remove(table + "/" + key);
+    return send("remove " + table + " " + key);
   }
 
-  /** Sets a fault of the store, by its name. */
-  void fault(String fault) {
-    say("fault " + fault);
+  /** Sets the fault with which the store responds from now on, by its name. */
+  void setFault(String fault) {
+    send("fault " + fault);
   }
 
-  void forget() {
-    say("forget");
+  void discardHistory() {
+    send("forget");
   }
 
-  private synchronized CompletableFuture<Long> say(String command) {
+  private synchronized CompletableFuture<Long> send(String command) {
     long number = ++commands;
     CompletableFuture<Long> acknowledged = new CompletableFuture<>();
-    open.put(number, acknowledged);
+    pending.put(number, acknowledged);
     try {
-      process.say(number + " " + command);
-    } catch (IOException ended) {
-      Logger.warn("event=store-command-failed command={} cause={}", command, ended.toString());
+      process.send(number + " " + command);
+    } catch (IOException failed) {
+      Logger.warn("event=store-command-failed command={} cause={}", command, failed.toString());
     }
     return acknowledged;
   }
 
-  /** Takes a line that the store's process wrote. */
-  void hear(String line) {
+  /** Processes a line that the store's process wrote. */
+  void receive(String line) {
     if (line.startsWith(StandardStreams.DONE)) {
-      String[] words = line.split(" ");
-      CompletableFuture<Long> done = open.remove(Long.parseLong(words[1]));
-      if (done != null) {
-        done.complete(Long.parseLong(words[2]));
+      String[] fields = line.split(" ");
+      CompletableFuture<Long> acknowledged = pending.remove(Long.parseLong(fields[1]));
+      if (acknowledged != null) {
+        acknowledged.complete(Long.parseLong(fields[2]));
       }
     }
   }
--- a/soak/src/main/java/org/lockdale/soak/run/package-info.java
+++ b/soak/src/main/java/org/lockdale/soak/run/package-info.java
@@ -1,4 +1,4 @@
-/** Runs a deployment of separate processes under a plan of faults, with traffic and the judge. */
+/** Runs a deployment of separate processes under a plan of faults, with traffic and checks. */
 @NullMarked
 package org.lockdale.soak.run;
 
--- a/soak/src/main/java/org/lockdale/soak/standin/Addresses.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/Addresses.java
@@ -7,25 +7,25 @@
 import java.net.ServerSocket;
 
 /**
- * Loopback addresses of one run. Each process has an address of its own and a proxied one, by which
- * the others reach it; runs on one machine keep apart by the second number of their addresses.
+ * Loopback addresses of one run. Each process has a real address, and a proxied one by which the
+ * others reach it. Runs on the same machine differ in the second octet of their addresses.
  */
 public final class Addresses {
 
-  /** Port on which callers, engines, servers and stores are reached. */
+  /** Port on which nodes, servers and stores accept requests. */
   public static final int SERVICE_PORT = 8782;
 
-  /** Port on which a node tells whether it serves. */
+  /** Port on which a node reports whether it is ready. */
   public static final int READY_PORT = 8789;
 
-  /** Port on which nodes hear each other. */
+  /** Port for the messages between nodes. */
   public static final int PEERS_PORT = 7340;
 
   private static final int FIRST_NETWORK = 16;
   private static final int LAST_NETWORK = 250;
   private static final int PROXIED_OFFSET = 100;
   private static final int LOCK_PORT = 7399;
-  private static final int THIRD_NUMBER = 2;
+  private static final int THIRD_OCTET = 2;
 
   private final int network;
 
@@ -33,7 +33,7 @@
     this.network = network;
   }
 
-  /** Claims addresses that no other run on this machine has; they are free when the JVM ends. */
+  /** Claims addresses that no other run on this machine uses, until the JVM exits. */
   public static Addresses claim() {
     for (int network = FIRST_NETWORK; network <= LAST_NETWORK; network++) {
       try {
@@ -45,45 +45,45 @@
         continue;
       }
     }
-    throw new IllegalStateException("too many runs on this machine");
+    throw new IllegalStateException("no loopback network is free; too many runs on this machine");
   }
 
   private static void release(ServerSocket lock) {
     try {
       lock.close();
-    } catch (IOException ignored) {
-      throw new UncheckedIOException(ignored);
+    } catch (IOException failed) {
+      throw new UncheckedIOException(failed);
     }
   }
 
-  /** Returns the address of the process with a number of a group. */
+  /** Returns the real address of a port of a process, given by its group and number. */
   public InetSocketAddress real(int group, int number, int port) {
     return new InetSocketAddress("127." + network + "." + group + "." + number, port);
   }
 
-  /** Returns the address by which others reach a process. */
+  /** Returns the proxied address that belongs to a real one. */
   public static InetSocketAddress proxied(InetSocketAddress real) {
     return new InetSocketAddress(proxiedHost(real.getAddress().getHostAddress()), real.getPort());
   }
 
-  /** Returns the proxied address of a host. */
+  /** Returns the proxied address of a host, given by its real address. */
   static String proxiedHost(String real) {
     return shifted(real, PROXIED_OFFSET);
   }
 
-  /** Returns the address of a host's own process. */
+  /** Returns the real address of a host, given by its proxied address. */
   static String realHost(String proxied) {
     return shifted(proxied, -PROXIED_OFFSET);
   }
 
   private static String shifted(String host, int offset) {
-    String[] numbers = host.split("\\.");
-    numbers[THIRD_NUMBER] = Integer.toString(Integer.parseInt(numbers[THIRD_NUMBER]) + offset);
-    return String.join(".", numbers);
+    String[] octets = host.split("\\.");
+    octets[THIRD_OCTET] = Integer.toString(Integer.parseInt(octets[THIRD_OCTET]) + offset);
+    return String.join(".", octets);
   }
 
-  /** Returns an address as the platform writes it. */
-  public static String text(InetSocketAddress address) {
+  /** Returns an address in the platform's format, {@code IP:PORT}. */
+  public static String format(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 }
--- a/soak/src/main/java/org/lockdale/soak/standin/CacheCalls.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/CacheCalls.java
@@ -13,23 +13,23 @@
 import org.lockdale.platform.RawCaller;
 import org.lockdale.soak.standin.CachedParts.Part;
 
-/** Calls for cached parts: those of the platform, and moves between the stand-ins themselves. */
+/** Requests for cached prompt parts: those of the platform, and transfers between stand-ins. */
 final class CacheCalls {
 
-  private static final String MOVE_PATH = "/part";
+  private static final String TRANSFER_PATH = "/part";
 
-  /** A move that takes longer is given up; the part is computed instead. */
-  private static final int MOVE_MILLIS = 300;
+  /** A transfer that takes longer is abandoned, and the part is computed instead. */
+  private static final int TRANSFER_TIMEOUT_MILLIS = 300;
 
   private CacheCalls() {}
 
-  /** Answers a call for cached parts; returns whether this is one. */
+  /** Serves a request for cached parts; returns false without a response if it isn't one. */
   static boolean serve(CachedParts cache, Received request, Socket connection) throws IOException {
     QueryStringDecoder uri = new QueryStringDecoder(request.line().split(" ")[1]);
     switch (uri.path()) {
-      case "/kv-list" -> answer(connection, cache.list());
-      case "/kv-events" -> answer(connection, changes(cache, request, uri));
-      case MOVE_PATH -> move(cache, request, connection, uri.parameters());
+      case "/kv-list" -> respond(connection, cache.list());
+      case "/kv-events" -> respond(connection, changes(cache, request, uri));
+      case TRANSFER_PATH -> transfer(cache, request, connection, uri.parameters());
       default -> {
         return false;
       }
@@ -41,50 +41,54 @@
       throws IOException {
     try {
       long since = Long.parseLong(uri.parameters().get("since").get(0));
-      return cache.changes(since, ServerBase.number(request.header("Wait-Ms")));
+      return cache.changes(since, ServerBase.parseNumber(request.header("Wait-Ms")));
     } catch (InterruptedException ended) {
       Thread.currentThread().interrupt();
       throw new IOException(ended);
     }
   }
 
-  private static void move(
+  private static void transfer(
       CachedParts cache, Received request, Socket connection, Map<String, List<String>> query)
       throws IOException {
     if (request.line().startsWith("PUT")) {
       cache.add(StandardStreams.parse(request.body(), Part.class));
-      answer(connection, "");
+      respond(connection, "");
       return;
     }
     Part part = cache.get(query.get("salt").get(0), query.get("id").get(0));
-    answer(connection, part == null ? "" : StandardStreams.json(part));
+    respond(connection, part == null ? "" : StandardStreams.json(part));
   }
 
-  private static void answer(Socket connection, String body) throws IOException {
-    ServerBase.answer(connection, ServerBase.OK, "", body, "Content-Type: application/json");
+  private static void respond(Socket connection, String body) throws IOException {
+    ServerBase.respond(connection, ServerBase.OK, "", body, "Content-Type: application/json");
   }
 
-  /** Asks another holder for a part; returns null if it has none or doesn't answer. */
+  /** Fetches a part from another holder; returns null if it doesn't have it or doesn't respond. */
   static @Nullable Part fetch(String source, String salt, String id) {
     String query = "?salt=" + URLEncoder.encode(salt, StandardCharsets.UTF_8) + "&id=" + id;
-    String body = call(source, "GET " + MOVE_PATH + query, "");
+    String body = request(source, "GET " + TRANSFER_PATH + query, "");
     return body.isEmpty() ? null : StandardStreams.parse(body, Part.class);
   }
 
-  /** Gives parts to another holder. */
+  /** Sends parts to another holder; failures are ignored. */
   static void save(String destination, List<Part> parts) {
-    parts.forEach(part -> call(destination, "PUT " + MOVE_PATH, StandardStreams.json(part)));
+    parts.forEach(part -> request(destination, "PUT " + TRANSFER_PATH, StandardStreams.json(part)));
   }
 
-  /** Calls a holder directly: links between servers are none of the gateway's. */
-  private static String call(String address, String line, String body) {
+  /**
+   * Sends a request to a holder at its real address, since the gateway takes no part in the links
+   * between servers. Returns the body of the response, or an empty one if the holder is
+   * unreachable.
+   */
+  private static String request(String address, String line, String body) {
     int colon = address.lastIndexOf(':');
     InetSocketAddress holder =
         new InetSocketAddress(
             Addresses.realHost(address.substring(0, colon)),
             Integer.parseInt(address.substring(colon + 1)));
-    try (RawCaller caller = new RawCaller(holder, MOVE_MILLIS)) {
-      caller.setPatience(MOVE_MILLIS);
+    try (RawCaller caller = new RawCaller(holder, TRANSFER_TIMEOUT_MILLIS)) {
+      caller.setPatience(TRANSFER_TIMEOUT_MILLIS);
       caller.send(
           line
               + " HTTP/1.1\r\nHost: holder\r\nContent-Length: "
--- a/soak/src/main/java/org/lockdale/soak/standin/CacheStoreServer.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/CacheStoreServer.java
@@ -4,7 +4,7 @@
 import java.net.Socket;
 import org.lockdale.platform.RawBackend.Received;
 
-/** A store of cached parts; nothing else is sent to it. */
+/** A store of cached prompt parts; it rejects all other requests. */
 final class CacheStoreServer extends ServerBase {
 
   private final CachedParts cache = new CachedParts();
@@ -19,7 +19,7 @@
   }
 
   @Override
-  boolean control(Received request, Socket connection) throws IOException {
+  boolean serveControlRequest(Received request, Socket connection) throws IOException {
     return CacheCalls.serve(cache, request, connection);
   }
 
--- a/soak/src/main/java/org/lockdale/soak/standin/CachedParts.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/CachedParts.java
@@ -8,66 +8,76 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** Cached parts of prompts at one engine or cache store, and what changed. Thread-safe. */
+/** Cached prompt parts of an engine or cache store, and their recent changes. Thread-safe. */
 final class CachedParts {
 
   /**
-   * A part and who made it.
+   * A cached part of a prompt.
    *
-   * @param maker tenant whose request made it, or null for none
-   * @param weights version of the weights that made it
+   * @param salt namespace of the part
+   * @param id id of the part within its namespace
+   * @param tokens number of its tokens
+   * @param model model that computed it
+   * @param maker tenant whose request created it, or null for none
+   * @param weights version of the weights that computed it
    */
   record Part(
       String salt, String id, int tokens, String model, @Nullable String maker, long weights) {}
 
-  /** Most parts held; the one unused longest gives way, so that parts are evicted in every run. */
+  /** Maximum number of parts, so low that least recently used ones are evicted in every run. */
   private static final int CAPACITY = 60;
 
-  /** Changes that are kept for those who follow them. */
-  private static final int MOST_EVENTS = 100;
+  /** Number of recent changes that are kept for followers. */
+  private static final int MAX_EVENTS = 100;
 
   private record Event(long number, boolean added, Part part) {}
 
   private final long bootEpoch = StandardStreams.nowMillis();
   private final Map<String, Part> parts = new LinkedHashMap<>(CAPACITY, 0.75f, true);
   private final List<Event> events = new ArrayList<>();
-  private long number;
+  private long lastEventNumber;
 
   synchronized @Nullable Part get(String salt, String id) {
     return parts.get(salt + "/" + id);
   }
 
-  /** Adds a part; one that is held stays as it was first made. */
+  /**
+   * Adds a part, unless it is cached already, and evicts the least recently used one if necessary.
+   */
   synchronized void add(Part part) {
     if (parts.putIfAbsent(part.salt() + "/" + part.id(), part) == null) {
-      note(true, part);
+      recordEvent(true, part);
     }
     if (parts.size() > CAPACITY) {
       String oldest = parts.keySet().iterator().next();
-      note(false, parts.remove(oldest));
+      recordEvent(false, parts.remove(oldest));
     }
   }
 
   synchronized void clear() {
-    parts.values().forEach(part -> note(false, part));
+    parts.values().forEach(part -> recordEvent(false, part));
     parts.clear();
   }
 
-  private void note(boolean added, Part part) {
-    events.add(new Event(++number, added, part));
-    if (events.size() > MOST_EVENTS) {
+  private void recordEvent(boolean added, Part part) {
+    events.add(new Event(++lastEventNumber, added, part));
+    if (events.size() > MAX_EVENTS) {
       events.remove(0);
     }
     notifyAll();
   }
 
-  /** Waits for changes after a number, and returns them as the platform writes them. */
+  /**
+   * Waits for changes after the given number and returns them in the platform's format.
+   *
+   * @param waitMillis maximum wait in milliseconds, after which the list may be empty
+   */
   synchronized String changes(long since, long waitMillis) throws InterruptedException {
     long end = StandardStreams.nowMillis() + waitMillis;
-    while (number <= since && StandardStreams.nowMillis() < end) {
+    while (lastEventNumber <= since && StandardStreams.nowMillis() < end) {
       wait(Math.max(1, end - StandardStreams.nowMillis()));
     }
-    ObjectNode body = head();
+    ObjectNode body = responseHead();
     body.put("lost", !events.isEmpty() && events.get(0).number() > since + 1);
     ArrayNode list = body.putArray("events");
     for (Event event : events) {
@@ -80,17 +90,17 @@
   }
 
   synchronized String list() {
-    ObjectNode body = head();
+    ObjectNode body = responseHead();
     ArrayNode list = body.putArray("held");
     parts.values().forEach(part -> write(list.addArray(), part));
     return body.toString();
   }
 
-  private ObjectNode head() {
+  private ObjectNode responseHead() {
     return StandardStreams.MAPPER
         .createObjectNode()
         .put("bootEpoch", bootEpoch)
-        .put("nextPageToken", number);
+        .put("nextPageToken", lastEventNumber);
   }
 
   private static void write(ArrayNode entry, Part part) {
--- a/soak/src/main/java/org/lockdale/soak/standin/EngineServer.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/EngineServer.java
@@ -13,59 +13,59 @@
 import org.lockdale.soak.judge.StreamPiece;
 import org.lockdale.soak.standin.CachedParts.Part;
 
-/** A model server: it streams, keeps parts of prompts, reports, and takes orders. */
+/** A model server that streams, caches prompt parts, reports its state and executes orders. */
 final class EngineServer extends ServerBase {
 
   private static final int SLOTS = 6;
 
-  /** Requests that may wait for a slot. */
-  private static final int QUEUE = 6;
+  /** Maximum number of requests that wait for a slot. */
+  private static final int QUEUE_CAPACITY = 6;
 
   private static final int PIECE_MILLIS = 40;
-  private static final int FEWEST_PIECES = 3;
-  private static final int MOST_PIECES = 30;
-  private static final int WAIT_STEP_MILLIS = 10;
+  private static final int MIN_PIECES = 3;
+  private static final int MAX_PIECES = 30;
+  private static final int POLL_INTERVAL_MILLIS = 10;
 
-  /** Tokens computed in a millisecond. */
-  private static final int TOKENS_PER_MILLI = 20;
+  /** Prompt tokens computed per millisecond. */
+  private static final int TOKENS_PER_MILLISECOND = 20;
 
   private static final long LOAD_MILLIS = 600;
 
-  /** One stream in so many is broken off inside an event. */
-  private static final int TORN_PARTS = 40;
+  /** One stream in this many is reset within an event. */
+  private static final int TORN_STREAM_INTERVAL = 40;
 
   private final String model;
   private final CachedParts cache = new CachedParts();
-  private long weights;
+  private long weightsVersion;
   private boolean busy;
   private int running;
   private int queued;
-  private long orders;
+  private long revision;
   private long highestFence;
 
   EngineServer(Life life, String service, String model, long weights) {
     super(life, service);
     this.model = model;
-    this.weights = weights;
+    this.weightsVersion = weights;
   }
 
   @Override
   synchronized String row() {
-    ObjectNode row = rowOf(SLOTS);
+    ObjectNode row = commonRow(SLOTS);
     row.put("stage", "colocated");
-    row.putArray("models").addObject().put("name", model).put("version", weights);
+    row.putArray("models").addObject().put("name", model).put("version", weightsVersion);
     return row.toString();
   }
 
   @Override
-  boolean control(Received request, Socket connection) throws IOException {
+  boolean serveControlRequest(Received request, Socket connection) throws IOException {
     String path = request.line().split(" ")[1];
     if (path.equals("/report")) {
-      answer(connection, OK, "", report(), "Content-Type: application/json");
+      respond(connection, OK, "", report(), "Content-Type: application/json");
     } else if (path.equals("/order")) {
-      answer(connection, order(request), "", "");
+      respond(connection, order(request), "", "");
     } else if (path.equals("/health")) {
-      answer(connection, OK, "", "", "Lockdale-Instance-Id: " + id());
+      respond(connection, OK, "", "", "Lockdale-Instance-Id: " + id());
     } else {
       return CacheCalls.serve(cache, request, connection);
     }
@@ -73,17 +73,17 @@
   }
 
   private synchronized String report() {
-    ObjectNode body = self().put("stage", "colocated");
-    body.putArray("models").addObject().put("name", model).put("version", weights);
+    ObjectNode body = selfDescription().put("stage", "colocated");
+    body.putArray("models").addObject().put("name", model).put("version", weightsVersion);
     return body.put("busy", busy)
-        .put("seq", orders)
+        .put("seq", revision)
         .put("queued", queued)
         .put("running", running)
         .toString();
   }
 
   private synchronized int order(Received request) throws IOException {
-    String target = request.header(Wire.TARGET);
+    String target = request.header(HeaderNames.TARGET);
     if (target != null && !target.equals(id())) {
       return MISDIRECTED;
     }
@@ -93,17 +93,17 @@
       return 412;
     }
     highestFence = fence;
-    StandardStreams.note(
+    StandardStreams.writeNote(
         new Note.Ordered(
             StandardStreams.nowMillis(), instance(), body.path("holder").asText(), fence));
     long version = body.path("version").asLong();
-    if (version == weights && !busy) {
+    if (version == weightsVersion && !busy) {
       return OK;
     }
-    if (busy || body.has("expectedRev") && body.path("expectedRev").asLong() != orders) {
+    if (busy || body.has("expectedRev") && body.path("expectedRev").asLong() != revision) {
       return 409;
     }
-    orders++;
+    revision++;
     busy = true;
     Thread loading = new Thread(() -> load(version), "load");
     loading.setDaemon(true);
@@ -125,34 +125,34 @@
     }
     synchronized (this) {
       cache.clear();
-      weights = version;
+      weightsVersion = version;
       busy = false;
     }
-    sayRow();
+    sendRow();
   }
 
   @Override
   void execute(Received request, Socket connection) throws IOException {
-    long end = StandardStreams.nowMillis() + number(request.header(Wire.DEADLINE));
-    int refusal = enter(request, connection, end);
-    if (refusal == 0) {
+    long end = StandardStreams.nowMillis() + parseNumber(request.header(HeaderNames.DEADLINE));
+    int status = acquireSlot(request, connection, end);
+    if (status == 0) {
       return;
     }
-    if (refusal != OK) {
-      reject(request, connection, refusal);
+    if (status != OK) {
+      reject(request, connection, status);
       return;
     }
     try {
       stream(request, connection, end);
     } finally {
-      leave();
+      releaseSlot();
     }
   }
 
-  /** Waits for a slot; returns 200, the status of a refusal, or 0 if the peer has gone. */
-  private int enter(Received request, Socket connection, long end) {
+  /** Waits for a slot; returns 200, the status of a rejection, or 0 if the peer closed. */
+  private int acquireSlot(Received request, Socket connection, long end) {
     synchronized (this) {
-      if (queued >= QUEUE) {
+      if (queued >= QUEUE_CAPACITY) {
         return UNAVAILABLE;
       }
       queued++;
@@ -160,16 +160,16 @@
     try {
       while (true) {
         synchronized (this) {
-          int refusal = refusal(request, end);
-          if (refusal != OK) {
-            return refusal;
+          int status = admissionStatus(request, end);
+          if (status != OK) {
+            return status;
           }
           if (running < SLOTS) {
             running++;
             return OK;
           }
         }
-        if (closesWithin(connection, WAIT_STEP_MILLIS)) {
+        if (closesWithin(connection, POLL_INTERVAL_MILLIS)) {
           return 0;
         }
       }
@@ -180,38 +180,38 @@
     }
   }
 
-  private int refusal(Received request, long end) {
-    String expected = request.header(Wire.EXPECTED_VERSION);
-    if (expected != null && number(expected) != weights) {
+  private int admissionStatus(Received request, long end) {
+    String expected = request.header(HeaderNames.EXPECTED_VERSION);
+    if (expected != null && parseNumber(expected) != weightsVersion) {
       return MISDIRECTED;
     }
     return busy || StandardStreams.nowMillis() > end ? UNAVAILABLE : OK;
   }
 
-  private synchronized void leave() {
+  private synchronized void releaseSlot() {
     running--;
     notifyAll();
   }
 
   private void stream(Received request, Socket connection, long end) throws IOException {
-    int draw = Math.floorMod(request.body().hashCode(), Integer.MAX_VALUE);
-    int pieces = FEWEST_PIECES + draw % (MOST_PIECES - FEWEST_PIECES);
-    int first = (int) number(request.header(Wire.LAST_EVENT)) + 1;
-    long lasts = (long) PIECE_MILLIS * Math.max(1, pieces - first + 1);
-    String run = begin(request, weights, lasts);
-    long computing = useParts(request, run) / TOKENS_PER_MILLI;
+    int hash = Math.floorMod(request.body().hashCode(), Integer.MAX_VALUE);
+    int pieces = MIN_PIECES + hash % (MAX_PIECES - MIN_PIECES);
+    int first = (int) parseNumber(request.header(HeaderNames.LAST_EVENT)) + 1;
+    long plannedMillis = (long) PIECE_MILLIS * Math.max(1, pieces - first + 1);
+    String run = startRun(request, weightsVersion, plannedMillis);
+    long computeMillis = preparePrompt(request, run) / TOKENS_PER_MILLISECOND;
     StringBuilder body = new StringBuilder();
-    boolean whole = false;
+    boolean complete = false;
     try {
-      if (closesWithin(connection, computing)) {
+      if (closesWithin(connection, computeMillis)) {
         return;
       }
-      RawBackend.write(connection, head(request, run));
-      int tornAt = tornAt(run, first, pieces);
-      // One that is continued after its last piece has nothing left but its end.
+      RawBackend.write(connection, responseHead(request, run));
+      int tornId = tornPiece(run, first, pieces);
+      // A stream that continues after its last piece consists of its end alone.
       for (int id = first; id <= pieces; id++) {
         String text = new StreamPiece(id, run, id >= pieces).text();
-        if (id == tornAt) {
+        if (id == tornId) {
           RawBackend.write(connection, RawBackend.chunk(text.substring(0, text.length() / 2)));
           RawBackend.reset(connection);
           return;
@@ -223,69 +223,69 @@
           return;
         }
       }
-      whole = true;
+      complete = true;
     } finally {
-      end(run, OK, body.toString(), whole);
+      recordEnd(run, OK, body.toString(), complete);
     }
     RawBackend.write(connection, "0\r\n\r\n");
   }
 
-  private static int tornAt(String run, int first, int pieces) {
-    boolean torn = Math.floorMod(run.hashCode(), TORN_PARTS) == 0;
-    return torn ? first + Math.floorMod(run.hashCode() / TORN_PARTS, pieces) : 0;
+  private static int tornPiece(String run, int first, int pieces) {
+    boolean torn = Math.floorMod(run.hashCode(), TORN_STREAM_INTERVAL) == 0;
+    return torn ? first + Math.floorMod(run.hashCode() / TORN_STREAM_INTERVAL, pieces) : 0;
   }
 
-  private String head(Received request, String run) {
+  private String responseHead(Received request, String run) {
     return "HTTP/1.1 200 OK\r\n"
-        + Wire.REQUEST_ID
+        + HeaderNames.REQUEST_ID
         + ": "
         + request.id()
         + "\r\n"
-        + signed(request, run)
+        + responseHeaders(request, run)
         + "\r\n"
-        + Wire.WEIGHTS
+        + HeaderNames.WEIGHTS
         + ": "
-        + weights
+        + weightsVersion
         + "\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
   }
 
-  /** Uses what is held of the prompt, makes the rest, and returns the tokens computed. */
-  private long useParts(Received request, String run) {
-    String salt = request.header(Wire.SALT) == null ? "" : request.header(Wire.SALT);
-    String tenant = request.header(Wire.TENANT);
-    List<Part> prompt = partsOf(request.header(Wire.PREFIX), salt, tenant);
-    List<Part> held = new ArrayList<>();
-    String source = request.header(Wire.KV_FETCH);
-    for (Part part : prompt) {
-      Part found = cache.get(salt, part.id());
+  /** Uses the cached prefix of the prompt, computes the rest, and returns the tokens computed. */
+  private long preparePrompt(Received request, String run) {
+    String salt = request.header(HeaderNames.SALT) == null ? "" : request.header(HeaderNames.SALT);
+    String tenant = request.header(HeaderNames.TENANT);
+    List<Part> prompt = parseParts(request.header(HeaderNames.PREFIX), salt, tenant);
+    List<Part> cached = new ArrayList<>();
+    String source = request.header(HeaderNames.KV_FETCH);
+    for (Part wanted : prompt) {
+      Part found = cache.get(salt, wanted.id());
       if (found == null && source != null) {
-        found = CacheCalls.fetch(source, salt, part.id());
+        found = CacheCalls.fetch(source, salt, wanted.id());
       }
       if (found == null) {
         break;
       }
-      held.add(found);
+      cached.add(found);
       cache.add(found);
     }
-    for (Part used : held) {
-      StandardStreams.note(
+    for (Part used : cached) {
+      StandardStreams.writeNote(
           new Note.PartsUsed(StandardStreams.nowMillis(), run, used.maker(), used.weights()));
     }
-    List<Part> made = prompt.subList(held.size(), prompt.size());
-    made.forEach(cache::add);
-    if (request.header(Wire.KV_SAVE) != null) {
-      CacheCalls.save(request.header(Wire.KV_SAVE), made);
+    List<Part> computed = prompt.subList(cached.size(), prompt.size());
+    computed.forEach(cache::add);
+    if (request.header(HeaderNames.KV_SAVE) != null) {
+      CacheCalls.save(request.header(HeaderNames.KV_SAVE), computed);
     }
-    return made.stream().mapToLong(Part::tokens).sum();
+    return computed.stream().mapToLong(Part::tokens).sum();
   }
 
-  private List<Part> partsOf(@Nullable String header, String salt, @Nullable String tenant) {
+  private List<Part> parseParts(@Nullable String header, String salt, @Nullable String tenant) {
     List<Part> parts = new ArrayList<>();
     if (header != null) {
       for (String item : header.split(",")) {
         String[] fields = item.split(":");
         int tokens = Integer.parseInt(fields[1]);
-        parts.add(new Part(salt, fields[0], tokens, model, tenant, weights));
+        parts.add(new Part(salt, fields[0], tokens, model, tenant, weightsVersion));
       }
     }
     return parts;
--- a/soak/src/main/java/org/lockdale/soak/standin/ForeignValues.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/ForeignValues.java
@@ -3,15 +3,19 @@
 import java.util.List;
 
 /**
- * Values of the servers' table that name no server, in the platform's words, which stand here a
- * second time on purpose as those of {@link Wire} do.
+ * Values in the server table that describe no usable server. They duplicate the platform's field
+ * names on purpose, for the same reason as {@link HeaderNames}.
  */
 public final class ForeignValues {
 
-  /** An address where nothing listens: whoever sends there takes an entry for a server. */
-  private static final String NOWHERE = "127.0.0.1:9";
+  /**
+   * An address on which nothing listens; a node that sends to it has taken the entry for a server.
+   */
+  private static final String UNUSED_ADDRESS = "127.0.0.1:9";
 
-  /** What another writer puts into a row, in the order in which plans draw from it. */
+  /**
+   * Values that another writer puts into the table; plans draw by index, so the order must stay.
+   */
   public static final List<String> ALL =
       List.of(
           "[]",
@@ -30,7 +34,7 @@
     return "{\"service\":\""
         + service
         + "\",\"address\":\""
-        + NOWHERE
+        + UNUSED_ADDRESS
         + "\",\"zone\":\"zone-a\",\"version\":\"1\",\"slots\":"
         + slots
         + ",\"state\":\""
--- a/soak/src/main/java/org/lockdale/soak/standin/Wire.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/HeaderNames.java
@@ -1,64 +1,64 @@
 package org.lockdale.soak.standin;
 
 /**
- * Names of the platform's headers. They stand here a second time on purpose: the soak sees the
- * gateway from outside, and a wrong name in the gateway must not be wrong here too.
+ * Names of the platform's headers. They duplicate those of the gateway on purpose, so that a wrong
+ * name in the gateway is detected by the soak.
  */
-public final class Wire {
+public final class HeaderNames {
 
   /** Id of a request. */
   public static final String REQUEST_ID = "Lockdale-Request-Id";
 
-  /** Time that is left, in milliseconds. */
+  /** Remaining time of a request, in milliseconds. */
   public static final String DEADLINE = "Lockdale-Deadline-Ms";
 
-  /** Model asked for. */
+  /** Requested model. */
   public static final String MODEL = "Lockdale-Model";
 
-  /** Parts of a prompt. */
+  /** Parts of a prompt, with their tokens. */
   public static final String PREFIX = "Lockdale-Prefix-Hash";
 
-  /** Tokens of a prompt and the most out. */
+  /** Tokens of the prompt and maximum tokens of the output. */
   public static final String USAGE = "Lockdale-Token-Usage";
 
-  /** Event after which a stream continues. */
+  /** Id of the event after which a stream continues. */
   public static final String LAST_EVENT = "Last-Event-Id";
 
-  /** Signature of the server's run. */
+  /** Signature of the run that produced the response. */
   public static final String SIGNATURE = "Lockdale-Response-Signature";
 
-  /** Server that must run the request. */
+  /** Id of the server that must run the request. */
   public static final String TARGET = "Lockdale-Target-Instance";
 
-  /** Tenant that a request runs under. */
+  /** Tenant of the request. */
   public static final String TENANT = "Lockdale-Tenant";
 
-  /** Says that a request was not run. */
+  /** Marks a response to a request that was not run. */
   public static final String NOT_EXECUTED = "Lockdale-Not-Executed";
 
   /** Namespace of cached parts. */
   public static final String SALT = "Lockdale-Cache-Salt";
 
-  /** Where cached parts are fetched from. */
+  /** Address from which cached parts are fetched. */
   public static final String KV_FETCH = "Lockdale-Kv-Fetch";
 
-  /** Where cached parts are saved. */
+  /** Address at which cached parts are saved. */
   public static final String KV_SAVE = "Lockdale-Kv-Save";
 
-  /** Version that the weights must have. */
+  /** Version of the weights that the request requires. */
   public static final String EXPECTED_VERSION = "Lockdale-Expected-Version";
 
-  /** Version of the weights that answered. */
+  /** Version of the weights that produced the response. */
   public static final String WEIGHTS = "Lockdale-Weight-Versions";
 
-  /** Requests a second that a server takes from all nodes together. */
+  /** Rate limit that a server advertises: requests per second from all nodes together. */
   public static final String SERVER_LIMIT = "Server-Limit";
 
-  /** Says that a server leaves. */
+  /** Announces that a server is draining. */
   public static final String SERVER_LEAVING = "Server-Leaving";
 
-  /** Seconds for which a server that turns a request away wants nothing from its node. */
+  /** Backoff in seconds that a server requests from the node whose request it rejects. */
   public static final String RETRY_AFTER = "Retry-After";
 
-  private Wire() {}
+  private HeaderNames() {}
 }
--- a/soak/src/main/java/org/lockdale/soak/standin/PlainServer.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/PlainServer.java
@@ -5,16 +5,16 @@
 import org.lockdale.platform.RawBackend;
 import org.lockdale.platform.RawBackend.Received;
 
-/** A server without a model; some of its answers fail in the ways that servers do. */
+/** A server without a model; some of its responses fail in ways typical of servers. */
 final class PlainServer extends ServerBase {
 
   private static final int SLOTS = 8;
-  private static final int SHORTEST_MILLIS = 5;
-  private static final int LONGEST_MILLIS = 250;
+  private static final int MIN_RUN_MILLIS = 5;
+  private static final int MAX_RUN_MILLIS = 250;
   private static final int SERVER_ERROR = 500;
 
-  /** One request in so many meets a kind of failure, so that a minute brings some of each. */
-  private static final int FAILURE_PARTS = 60;
+  /** Each kind of failure affects one request in this many, so that a minute has some of each. */
+  private static final int FAILURE_INTERVAL = 60;
 
   private int running;
 
@@ -24,19 +24,19 @@
 
   @Override
   String row() {
-    return rowOf(SLOTS).toString();
+    return commonRow(SLOTS).toString();
   }
 
   @Override
-  boolean control(Received request, Socket connection) throws IOException {
+  boolean serveControlRequest(Received request, Socket connection) throws IOException {
     if (!request.line().startsWith("GET /health")) {
       return false;
     }
-    answer(connection, OK, "", "", "Lockdale-Instance-Id: " + id());
+    respond(connection, OK, "", "", "Lockdale-Instance-Id: " + id());
     return true;
   }
 
-  private synchronized boolean enter() {
+  private synchronized boolean acquireSlot() {
     if (running >= SLOTS) {
       return false;
     }
@@ -44,41 +44,43 @@
     return true;
   }
 
-  private synchronized void leave() {
+  private synchronized void releaseSlot() {
     running--;
   }
 
   @Override
   void execute(Received request, Socket connection) throws IOException {
-    if (!enter()) {
+    if (!acquireSlot()) {
       reject(request, connection, UNAVAILABLE);
       return;
     }
     try {
       int draw = Math.floorMod((request.id() + instance()).hashCode(), Integer.MAX_VALUE);
-      long lasts = SHORTEST_MILLIS + draw % (LONGEST_MILLIS - SHORTEST_MILLIS);
-      String run = begin(request, 0, lasts);
+      long durationMillis = MIN_RUN_MILLIS + draw % (MAX_RUN_MILLIS - MIN_RUN_MILLIS);
+      String run = startRun(request, 0, durationMillis);
       String body = "answer of " + run + " to " + request.id();
-      if (closesWithin(connection, lasts)) {
-        end(run, OK, body, false);
+      if (closesWithin(connection, durationMillis)) {
+        recordEnd(run, OK, body, false);
         connection.close();
         return;
       }
-      finish(request, connection, run, body, draw / LONGEST_MILLIS % FAILURE_PARTS);
+      sendResponse(request, connection, run, body, draw / MAX_RUN_MILLIS % FAILURE_INTERVAL);
     } finally {
-      leave();
+      releaseSlot();
     }
   }
 
-  private void finish(Received request, Socket connection, String run, String body, int failure)
+  private void sendResponse(
+      Received request, Socket connection, String run, String body, int failure)
       throws IOException {
-    String signature = signed(request, run);
+    String signature = responseHeaders(request, run);
     int status = failure == 0 ? SERVER_ERROR : OK;
-    end(run, status, body, failure != 1);
+    recordEnd(run, status, body, failure != 1);
     switch (failure) {
       case 1 -> {
         String half = body.substring(0, body.length() / 2);
-        String head = "HTTP/1.1 200 Status\r\n" + Wire.REQUEST_ID + ": " + request.id() + "\r\n";
+        String head =
+            "HTTP/1.1 200 Status\r\n" + HeaderNames.REQUEST_ID + ": " + request.id() + "\r\n";
         RawBackend.write(
             connection,
             head + signature + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + half);
@@ -86,14 +88,14 @@
       }
       case 2 -> RawBackend.write(connection, "no answer in the protocol\r\n\r\n");
       case 3 -> {
-        answer(connection, status, request.id(), body, signature);
-        answer(connection, status, request.id(), "surplus", signature);
+        respond(connection, status, request.id(), body, signature);
+        respond(connection, status, request.id(), "surplus", signature);
       }
       case 4, 5 -> {
-        answer(connection, status, request.id(), body, signature, "Connection: close");
+        respond(connection, status, request.id(), body, signature, "Connection: close");
         connection.close();
       }
-      default -> answer(connection, status, request.id(), body, signature);
+      default -> respond(connection, status, request.id(), body, signature);
     }
   }
 }
--- a/soak/src/main/java/org/lockdale/soak/standin/ServerBase.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/ServerBase.java
@@ -14,42 +14,50 @@
 import org.lockdale.soak.judge.Note;
 import org.lockdale.soak.judge.RequestFacts;
 
-/** What all stand-in servers do alike: they note what arrives, and turn away what isn't theirs. */
+/**
+ * Common part of all stand-in servers. It records the requests that arrive and rejects those that
+ * are meant for another server.
+ */
 public abstract class ServerBase {
 
   static final int OK = 200;
   static final int MISDIRECTED = 421;
   static final int UNAVAILABLE = 503;
 
-  /** How the body of a request begins that ends each server which runs it. */
-  public static final String CRASHING = "ends servers";
+  /** Start of the body of a request that crashes each server that runs it. */
+  public static final String CRASHING_BODY_PREFIX = "ends servers";
 
-  /** Begins a line with the rate that a server is to name; nothing follows for none. */
-  public static final String RATE = "rate ";
+  /** Prefix of a line with the rate limit that a server is to advertise; empty for none. */
+  public static final String RATE_COMMAND = "rate ";
 
-  /** Tells a server that it leaves, so that it says so in its answers. */
-  public static final String LEAVING = "leaving";
+  /** Line that makes a server announce in its responses that it is draining. */
+  public static final String LEAVING_COMMAND = "leaving";
 
   /**
-   * Begins a line with the rest in milliseconds that a server is to ask for, and the share of
-   * requests that it turns away; nothing follows for none.
+   * Prefix of a line with the backoff in milliseconds that a server is to request, and the share of
+   * requests that it rejects with it; empty for none.
    */
-  public static final String REST = "rest ";
+  public static final String REST_COMMAND = "rest ";
 
-  private static final long CRASH_MILLIS = 40;
-  private static final double MILLIS_A_SECOND = 1_000;
+  private static final long CRASH_DELAY_MILLIS = 40;
+  private static final double MILLIS_PER_SECOND = 1_000;
 
-  private final Life life;
+  private final Life incarnation;
   private final String service;
   private final AtomicLong runs = new AtomicLong();
 
-  /** Requests a second that it takes, or null for no rate. */
-  private volatile @Nullable Double perSecond;
+  /** Advertised requests per second, or null for none. */
+  private volatile @Nullable Double advertisedRate;
 
-  private volatile boolean leaving;
-  private volatile Rest rest = Rest.NONE;
+  private volatile boolean draining;
+  private volatile Rest requestedBackoff = Rest.NONE;
 
-  /** The rest that it asks for, and the share of requests that it turns away with that. */
+  /**
+   * The backoff that a server requests.
+   *
+   * @param millis backoff in milliseconds
+   * @param share part of the requests that it rejects with it, 0 to 1
+   */
   private record Rest(long millis, double share) {
 
     static final Rest NONE = new Rest(0, 0);
@@ -63,35 +71,35 @@
   }
 
   /**
-   * One life of a server.
+   * An incarnation of a server.
    *
-   * @param id id of the server, which it keeps when it starts again
+   * @param id id of the server, which may stay the same after a restart
    * @param startedAtMillis Unix time of its start
    */
   record Life(String id, long startedAtMillis) {
 
-    /** Returns the name by which notes tell lives apart. */
+    /** Returns the name of this incarnation in notes. */
     String name() {
-      return nameOf(id, startedAtMillis);
+      return instanceName(id, startedAtMillis);
     }
   }
 
   ServerBase(Life life, String service) {
-    this.life = life;
+    this.incarnation = life;
     this.service = service;
   }
 
-  /** Returns the name by which notes tell the lives of servers apart. */
-  public static String nameOf(String id, long startedAtMillis) {
+  /** Returns the name of a server's incarnation in notes. */
+  public static String instanceName(String id, long startedAtMillis) {
     return id + "@" + startedAtMillis;
   }
 
-  /** Serves until the driver has gone, and says so to the store at every heartbeat. */
+  /** Serves until the driver closes the standard input, and sends a row at every heartbeat. */
   final void run(InetSocketAddress address, long heartbeatMillis) throws IOException {
     RawBackend[] backend = new RawBackend[1];
     backend[0] =
         new RawBackend(
-            life.id(),
+            incarnation.id(),
             address,
             (request, connection) -> {
               if (backend[0] != null) {
@@ -99,63 +107,66 @@
               }
               serve(request, connection);
             });
-    Thread beat = new Thread(() -> beat(heartbeatMillis), "heartbeat");
+    Thread beat = new Thread(() -> sendHeartbeats(heartbeatMillis), "heartbeat");
     beat.setDaemon(true);
     beat.start();
-    try (StallWatch watch = new StallWatch(this::stalled)) {
-      StandardStreams.obey(this::take);
+    try (StallWatch watch = new StallWatch(this::recordStall)) {
+      StandardStreams.runCommands(this::handleCommand);
     }
   }
 
-  private void take(String line) {
-    if (line.startsWith(RATE)) {
-      String rate = line.substring(RATE.length());
-      perSecond = rate.isEmpty() ? null : Double.valueOf(rate);
-      StandardStreams.note(new Note.RateNamed(StandardStreams.nowMillis(), instance(), perSecond));
-    } else if (line.equals(LEAVING)) {
-      leaving = true;
-    } else if (line.startsWith(REST)) {
-      rest = Rest.parse(line.substring(REST.length()));
+  private void handleCommand(String line) {
+    if (line.startsWith(RATE_COMMAND)) {
+      String rate = line.substring(RATE_COMMAND.length());
+      advertisedRate = rate.isEmpty() ? null : Double.valueOf(rate);
+      StandardStreams.writeNote(
+          new Note.RateNamed(StandardStreams.nowMillis(), instance(), advertisedRate));
+    } else if (line.equals(LEAVING_COMMAND)) {
+      draining = true;
+    } else if (line.startsWith(REST_COMMAND)) {
+      requestedBackoff = Rest.parse(line.substring(REST_COMMAND.length()));
     } else {
-      Guard.take(line);
+      NodeReaper.handleCommand(line);
     }
   }
 
   /**
-   * Returns the headers of each answer of a run: the signature, and what the server says of itself.
+   * Returns the headers of a run's response: the signature, the announcement that the server is
+   * draining, and its advertised rate. Records the latter two.
    */
-  final String signed(Received request, String run) {
-    String headers = Wire.SIGNATURE + ": " + run + saysLeaving(request);
-    Double named = perSecond;
-    if (named == null) {
+  final String responseHeaders(Received request, String run) {
+    String headers = HeaderNames.SIGNATURE + ": " + run + drainingHeader(request);
+    Double rate = advertisedRate;
+    if (rate == null) {
       return headers;
     }
-    StandardStreams.note(new Note.RateTold(StandardStreams.nowMillis(), instance(), request.id()));
-    return headers + "\r\n" + Wire.SERVER_LIMIT + ": " + named;
+    StandardStreams.writeNote(
+        new Note.RateTold(StandardStreams.nowMillis(), instance(), request.id()));
+    return headers + "\r\n" + HeaderNames.SERVER_LIMIT + ": " + rate;
   }
 
-  /** Returns the line to be added to the headers of an answer while the server leaves. */
-  private String saysLeaving(Received request) {
-    if (!leaving) {
+  /** Returns the line to append to a response's headers; empty unless the server is draining. */
+  private String drainingHeader(Received request) {
+    if (!draining) {
       return "";
     }
-    StandardStreams.note(
+    StandardStreams.writeNote(
         new Note.LeavingTold(StandardStreams.nowMillis(), instance(), request.id()));
-    return "\r\n" + Wire.SERVER_LEAVING + ": 1";
+    return "\r\n" + HeaderNames.SERVER_LEAVING + ": 1";
   }
 
-  /** Tells the judge that the machine didn't run this server, so that it read requests late. */
-  private void stalled(long sinceMillis) {
+  /** Records that the machine did not schedule this server, so that it read requests late. */
+  private void recordStall(long sinceMillis) {
     long id = ThreadLocalRandom.current().nextLong(Long.MIN_VALUE, 0);
-    StandardStreams.note(
+    StandardStreams.writeNote(
         new Note.DisruptionBegan(sinceMillis, id, History.stalled(instance()), false));
-    StandardStreams.note(new Note.DisruptionEnded(StandardStreams.nowMillis(), id));
+    StandardStreams.writeNote(new Note.DisruptionEnded(StandardStreams.nowMillis(), id));
   }
 
-  private void beat(long heartbeatMillis) {
+  private void sendHeartbeats(long heartbeatMillis) {
     try {
       while (true) {
-        sayRow();
+        sendRow();
         Thread.sleep(heartbeatMillis);
       }
     } catch (InterruptedException ended) {
@@ -163,93 +174,100 @@
     }
   }
 
-  /** Says what this server would write of itself into the store. */
-  final void sayRow() {
-    StandardStreams.say(StandardStreams.ROW + row());
+  /** Sends the driver the row that this server would write into the store. */
+  final void sendRow() {
+    StandardStreams.writeLine(StandardStreams.ROW + row());
   }
 
-  /** Returns the name of this life in notes. */
+  /** Returns the name of this incarnation in notes. */
   final String instance() {
-    return life.name();
+    return incarnation.name();
   }
 
-  /** Returns the id by which it is meant on the wire. */
+  /** Returns the id of this server, by which requests target it. */
   final String id() {
-    return life.id();
+    return incarnation.id();
   }
 
-  /** Returns what this server says of itself in all answers about itself. */
-  final ObjectNode self() {
-    return StandardStreams.MAPPER.createObjectNode().put("born", life.startedAtMillis());
+  /** Returns the fields that are common to this server's row and its reports. */
+  final ObjectNode selfDescription() {
+    return StandardStreams.MAPPER.createObjectNode().put("born", incarnation.startedAtMillis());
   }
 
-  /** Returns the part of its row that all servers have. */
-  final ObjectNode rowOf(int slots) {
-    return self().put("slots", slots).put("coldRemainingMs", 0).put("seq", 1);
+  /** Returns the fields of the row that all servers have. */
+  final ObjectNode commonRow(int slots) {
+    return selfDescription().put("slots", slots).put("coldRemainingMs", 0).put("seq", 1);
   }
 
   final String service() {
     return service;
   }
 
-  /** Returns the row as JSON, without address and state, which the driver knows. */
+  /** Returns the row as JSON, without the address and state, which the driver adds. */
   abstract String row();
 
-  /** Answers calls that are no requests; returns whether this is one. */
-  abstract boolean control(Received request, Socket connection) throws IOException;
+  /**
+   * Serves a control request, such as a health check; returns false without a response otherwise.
+   */
+  abstract boolean serveControlRequest(Received request, Socket connection) throws IOException;
 
-  /** Runs a request that is meant for this server. */
+  /** Runs a caller's request that is meant for this server, or rejects it. */
   abstract void execute(Received request, Socket connection) throws IOException;
 
   private void serve(Received request, Socket connection) throws IOException {
     connection.setTcpNoDelay(true);
     connection.setSoTimeout(0);
-    if (control(request, connection)) {
+    if (serveControlRequest(request, connection)) {
       return;
     }
     if (request.id() == null) {
-      answer(connection, 400, "", "", Wire.NOT_EXECUTED + ": 1");
+      respond(connection, 400, "", "", HeaderNames.NOT_EXECUTED + ": 1");
       return;
     }
-    StandardStreams.note(
+    StandardStreams.writeNote(
         new Note.Arrived(StandardStreams.nowMillis(), instance(), service, request.id()));
-    String target = request.header(Wire.TARGET);
-    if (target != null && !target.equals(life.id())) {
+    String target = request.header(HeaderNames.TARGET);
+    if (target != null && !target.equals(incarnation.id())) {
       reject(request, connection, MISDIRECTED);
       return;
     }
-    Rest wanted = rest;
-    if (ThreadLocalRandom.current().nextDouble() < wanted.share()) {
-      shed(request, connection, wanted.millis());
+    Rest backoff = requestedBackoff;
+    if (ThreadLocalRandom.current().nextDouble() < backoff.share()) {
+      shed(request, connection, backoff.millis());
       return;
     }
     execute(request, connection);
   }
 
-  /** Turns a request away and asks its node for rest. */
+  /** Rejects a request and requests backoff from its node. */
   private void shed(Received request, Socket connection, long restMillis) throws IOException {
     long now = StandardStreams.nowMillis();
-    StandardStreams.note(new Note.Rejected(now, instance(), request.id(), UNAVAILABLE));
-    String retryAfter = Wire.RETRY_AFTER + ": " + restMillis / MILLIS_A_SECOND;
-    answer(
+    StandardStreams.writeNote(new Note.Rejected(now, instance(), request.id(), UNAVAILABLE));
+    String retryAfter = HeaderNames.RETRY_AFTER + ": " + restMillis / MILLIS_PER_SECOND;
+    respond(
         connection,
         UNAVAILABLE,
         request.id(),
         "",
-        Wire.NOT_EXECUTED + ": 1" + saysLeaving(request),
+        HeaderNames.NOT_EXECUTED + ": 1" + drainingHeader(request),
         retryAfter);
-    StandardStreams.note(new Note.RestTold(now, instance(), request.id(), restMillis));
+    StandardStreams.writeNote(new Note.RestTold(now, instance(), request.id(), restMillis));
   }
 
-  /** Answers that a request was not run. */
+  /** Rejects a request with the given status, marked as not run. */
   final void reject(Received request, Socket connection, int status) throws IOException {
-    StandardStreams.note(
+    StandardStreams.writeNote(
         new Note.Rejected(StandardStreams.nowMillis(), instance(), request.id(), status));
-    answer(connection, status, request.id(), "", Wire.NOT_EXECUTED + ": 1" + saysLeaving(request));
+    respond(
+        connection,
+        status,
+        request.id(),
+        "",
+        HeaderNames.NOT_EXECUTED + ": 1" + drainingHeader(request));
   }
 
-  /** Notes that a run begins and returns its id. */
-  final String begin(Received request, long weights, long plannedMillis) {
+  /** Records the start of a run and returns its id; a crashing request then ends the process. */
+  final String startRun(Received request, long weights, long plannedMillis) {
     String run = instance() + "/" + runs.incrementAndGet();
     String[] line = request.line().split(" ");
     RequestFacts facts =
@@ -257,10 +275,10 @@
             line[0],
             line[1],
             request.body(),
-            request.header(Wire.MODEL),
-            request.header(Wire.PREFIX),
-            request.header(Wire.USAGE));
-    StandardStreams.note(
+            request.header(HeaderNames.MODEL),
+            request.header(HeaderNames.PREFIX),
+            request.header(HeaderNames.USAGE));
+    StandardStreams.writeNote(
         new Note.Begun(
             StandardStreams.nowMillis(),
             instance(),
@@ -268,24 +286,24 @@
             request.id(),
             run,
             facts,
-            request.header(Wire.TENANT),
+            request.header(HeaderNames.TENANT),
             weights,
-            number(request.header(Wire.DEADLINE)),
+            parseNumber(request.header(HeaderNames.DEADLINE)),
             plannedMillis,
-            (int) number(request.header(Wire.LAST_EVENT))));
-    if (request.body().startsWith(CRASHING)) {
+            (int) parseNumber(request.header(HeaderNames.LAST_EVENT))));
+    if (request.body().startsWith(CRASHING_BODY_PREFIX)) {
       crash(request.id());
     }
     return run;
   }
 
-  /** Ends this process a moment after the run began, as a fault in a server's own code does. */
+  /** Ends this process shortly after the start of the run, as a fault in a server's code does. */
   private void crash(String requestId) {
     Thread crash =
         new Thread(
             () -> {
-              pause(CRASH_MILLIS);
-              StandardStreams.note(
+              sleep(CRASH_DELAY_MILLIS);
+              StandardStreams.writeNote(
                   new Note.Crashed(StandardStreams.nowMillis(), instance(), requestId));
               Runtime.getRuntime().halt(1);
             },
@@ -294,7 +312,7 @@
     crash.start();
   }
 
-  private static void pause(long millis) {
+  private static void sleep(long millis) {
     try {
       Thread.sleep(millis);
     } catch (InterruptedException ended) {
@@ -302,20 +320,21 @@
     }
   }
 
-  static void end(String run, int status, String body, boolean whole) {
-    StandardStreams.note(new Note.Ended(StandardStreams.nowMillis(), run, status, body, whole));
+  static void recordEnd(String run, int status, String body, boolean complete) {
+    StandardStreams.writeNote(
+        new Note.Ended(StandardStreams.nowMillis(), run, status, body, complete));
   }
 
-  static long number(@Nullable String header) {
+  static long parseNumber(@Nullable String header) {
     return header == null ? 0 : (long) Double.parseDouble(header.trim());
   }
 
-  static void answer(
+  static void respond(
       Socket connection, int status, @Nullable String id, String body, String... headers)
       throws IOException {
     StringBuilder text = new StringBuilder("HTTP/1.1 " + status + " Status\r\n");
     if (id != null && !id.isEmpty()) {
-      text.append(Wire.REQUEST_ID).append(": ").append(id).append("\r\n");
+      text.append(HeaderNames.REQUEST_ID).append(": ").append(id).append("\r\n");
     }
     for (String header : headers) {
       text.append(header).append("\r\n");
@@ -324,7 +343,7 @@
     RawBackend.write(connection, text.toString());
   }
 
-  /** Waits, and returns whether the peer closed the connection meanwhile. */
+  /** Waits and returns whether the peer closed the connection within {@code millis}. */
   static boolean closesWithin(Socket connection, long millis) {
     try {
       connection.setSoTimeout((int) Math.max(1, millis));
--- a/soak/src/main/java/org/lockdale/soak/standin/StallWatch.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/StallWatch.java
@@ -2,26 +2,26 @@
 
 import java.io.Closeable;
 
-/** Notices when the machine doesn't run a process in time. */
+/** Detects that the machine does not schedule this process in time. */
 public final class StallWatch implements Closeable {
 
-  /** Half of the shortest bound that the judge knows, the one of a configuration falling back. */
+  /** Half of the checker's shortest bound, that of a fallback to an older configuration. */
   public static final long STALL_MILLIS = 125;
 
-  private static final long STEP_MILLIS = 50;
+  private static final long CHECK_INTERVAL_MILLIS = 50;
 
-  /** Told of stalls. */
+  /** Receives stalls. */
   @FunctionalInterface
   public interface Listener {
 
-    /** Takes in that the process wasn't run since a moment, and is now. */
+    /** Called after a stall that started at the given time and has just ended. */
     void onStall(long sinceMillis);
   }
 
   private final Listener listener;
   private final Thread thread = new Thread(this::watch, "stall-watch");
 
-  /** Starts to watch. */
+  /** Starts a thread that notifies the listener of stalls until this is closed. */
   public StallWatch(Listener listener) {
     this.listener = listener;
     thread.setDaemon(true);
@@ -32,8 +32,8 @@
     try {
       while (true) {
         long before = StandardStreams.nowMillis();
-        Thread.sleep(STEP_MILLIS);
-        if (StandardStreams.nowMillis() - before > STEP_MILLIS + STALL_MILLIS) {
+        Thread.sleep(CHECK_INTERVAL_MILLIS);
+        if (StandardStreams.nowMillis() - before > CHECK_INTERVAL_MILLIS + STALL_MILLIS) {
           listener.onStall(before);
         }
       }
--- a/soak/src/main/java/org/lockdale/soak/standin/StandInProcess.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/StandInProcess.java
@@ -11,7 +11,7 @@
  */
 public final class StandInProcess {
 
-  /** How often a server says in the store that it lives, as the example settings have it. */
+  /** Interval of a server's heartbeats, the same as in the example settings. */
   public static final long HEARTBEAT_MILLIS = 1_200;
 
   private StandInProcess() {}
@@ -24,16 +24,20 @@
       case "store" -> StoreProcess.run(address);
       case "engine" ->
           new EngineServer(
-                  lifeOf(arguments), arguments[5], arguments[6], Long.parseLong(arguments[7]))
+                  parseIncarnation(arguments),
+                  arguments[5],
+                  arguments[6],
+                  Long.parseLong(arguments[7]))
               .run(address, HEARTBEAT_MILLIS);
       case "plain" ->
-          new PlainServer(lifeOf(arguments), arguments[5]).run(address, HEARTBEAT_MILLIS);
-      case "cache-store" -> new CacheStoreServer(lifeOf(arguments)).run(address, HEARTBEAT_MILLIS);
-      default -> throw new IllegalArgumentException("there is no stand-in " + arguments[0]);
+          new PlainServer(parseIncarnation(arguments), arguments[5]).run(address, HEARTBEAT_MILLIS);
+      case "cache-store" ->
+          new CacheStoreServer(parseIncarnation(arguments)).run(address, HEARTBEAT_MILLIS);
+      default -> throw new IllegalArgumentException("unknown stand-in: " + arguments[0]);
     }
   }
 
-  private static ServerBase.Life lifeOf(String... arguments) {
+  private static ServerBase.Life parseIncarnation(String... arguments) {
     return new ServerBase.Life(arguments[3], Long.parseLong(arguments[4]));
   }
 }
--- a/soak/src/main/java/org/lockdale/soak/standin/StandardStreams.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/StandardStreams.java
@@ -13,19 +13,19 @@
 import org.lockdale.soak.plan.Fault;
 
 /**
- * What a stand-in and the driver say to each other: lines of a word and its content. A note is
- * written before that what it tells is done, so that nothing is done unseen when the process is
+ * The lines that a stand-in and the driver exchange, each a word followed by its content. A note is
+ * written before the action that it describes, so that no action goes unrecorded if the process is
  * killed.
  */
 public final class StandardStreams {
 
-  /** Begins a line with a note. */
+  /** Prefix of a line with a note. */
   public static final String NOTE = "note ";
 
-  /** Begins a line with a server's row for the store. */
+  /** Prefix of a line with a server's row for the store. */
   public static final String ROW = "row ";
 
-  /** Begins a line that says when a command was done. */
+  /** Prefix of a line with the number of a command and the time at which it was done. */
   public static final String DONE = "done ";
 
   /** Reads and writes all JSON of the soak. */
@@ -40,12 +40,12 @@
     return mapper;
   }
 
-  /** Returns the time of the clock that all processes share. */
+  /** Returns the time of the monotonic clock that all processes of the machine share. */
   public static long nowMillis() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 
-  /** Returns a value as JSON in one line. */
+  /** Returns a value as a line of JSON. */
   public static String json(Object value) {
     try {
       return MAPPER.writeValueAsString(value);
@@ -54,7 +54,11 @@
     }
   }
 
-  /** Reads JSON. */
+  /**
+   * Parses JSON.
+   *
+   * @throws UncheckedIOException if the text doesn't match the type
+   */
   public static <T> T parse(String text, Class<T> type) {
     try {
       return MAPPER.readValue(text, type);
@@ -63,22 +67,22 @@
     }
   }
 
-  static void note(Note note) {
-    say(NOTE + json(note));
+  static void writeNote(Note note) {
+    writeLine(NOTE + json(note));
   }
 
-  static synchronized void say(String line) {
+  static synchronized void writeLine(String line) {
     System.out.println(line);
   }
 
-  /** Runs commands until the driver has gone, and ends the process then. */
-  static void obey(Consumer<String> command) throws IOException {
+  /** Runs the driver's commands until it closes the standard input, then ends this process. */
+  static void runCommands(Consumer<String> command) throws IOException {
     BufferedReader commands =
         new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
     for (String line = commands.readLine(); line != null; line = commands.readLine()) {
       command.accept(line);
     }
-    Guard.endNodes();
+    NodeReaper.killNodes();
     Runtime.getRuntime().halt(0);
   }
 }
--- a/soak/src/main/java/org/lockdale/soak/standin/StoreProcess.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/StoreProcess.java
@@ -6,7 +6,7 @@
 import org.lockdale.protocol.MessageCodec;
 import org.lockdale.protocol.generated.NodeRecord;
 
-/** The platform's metadata store as a process. */
+/** Runs a stand-in for the platform's metadata store. */
 final class StoreProcess {
 
   private static final String NODE_PREFIX = "node/";
@@ -14,31 +14,37 @@
 
   private StoreProcess() {}
 
-  /** Serves until the driver has gone; nodes find each other at their proxied addresses. */
+  /**
+   * Serves until the driver closes the standard input. Node records are returned with proxied
+   * addresses, so that nodes reach each other through the proxy.
+   */
   static void run(InetSocketAddress address) throws IOException {
     StandInStore store = new StandInStore(address, StoreProcess::proxied);
-    StandardStreams.obey(line -> obey(store, line));
+    StandardStreams.runCommands(line -> runCommand(store, line));
   }
 
   private static synchronized byte[] proxied(String table, String key, byte[] value) {
     if (!key.startsWith(NODE_PREFIX)) {
       return value;
     }
-    NodeRecord row = MessageCodec.nodes().decode(value);
-    row.setHost(Addresses.proxiedHost(row.getHost()));
-    return MessageCodec.nodes().encode(row);
+    NodeRecord node = MessageCodec.nodes().decode(value);
+    node.setHost(Addresses.proxiedHost(node.getHost()));
+    return MessageCodec.nodes().encode(node);
   }
 
-  /** Obeys {@code NUMBER put TABLE KEY JSON}, {@code remove}, {@code fault} and {@code forget}. */
-  private static void obey(StandInStore store, String line) {
-    String[] words = line.split(" ", COMMAND_FIELDS);
-    switch (words[1]) {
-      case "put" -> store.put(words[2], words[3], words[4]);
-      case "remove" -> store.remove(words[2], words[3]);
-      case "fault" -> store.setFault(StandInStore.Fault.valueOf(words[2]));
+  /**
+   * Runs {@code NUMBER put TABLE KEY JSON}, {@code NUMBER remove TABLE KEY}, {@code NUMBER fault
+   * FAULT} or {@code NUMBER forget}, then writes the number and the time.
+   */
+  private static void runCommand(StandInStore store, String line) {
+    String[] fields = line.split(" ", COMMAND_FIELDS);
+    switch (fields[1]) {
+      case "put" -> store.put(fields[2], fields[3], fields[4]);
+      case "remove" -> store.remove(fields[2], fields[3]);
+      case "fault" -> store.setFault(StandInStore.Fault.valueOf(fields[2]));
       case "forget" -> store.forgetHistory();
-      default -> throw new IllegalArgumentException("there is no command " + words[1]);
+      default -> throw new IllegalArgumentException("unknown command: " + fields[1]);
     }
-    StandardStreams.say(StandardStreams.DONE + words[0] + " " + StandardStreams.nowMillis());
+    StandardStreams.writeLine(StandardStreams.DONE + fields[0] + " " + StandardStreams.nowMillis());
   }
 }
--- a/soak/src/main/java/org/lockdale/soak/standin/package-info.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/package-info.java
@@ -1,4 +1,4 @@
-/** Stand-ins of servers and of the store, each run as a process of its own. */
+/** Stand-ins for servers and for the store, each of which runs in a process of its own. */
 @NullMarked
 package org.lockdale.soak.standin;
 
--- a/soak/src/test/java/org/lockdale/soak/run/NodeSignalsTest.java
+++ b/soak/src/test/java/org/lockdale/soak/run/NodeSignalsTest.java
@@ -16,11 +16,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Nodes survive signals from the moment at which they listen. A node that had been killed and
- * started again was told by SIGHUP that its settings had changed, a second after its start on a
- * busy machine, and ended without a log line: it listened for callers already, but took the signal
- * only once it had started. The soak's notes showed the start, the signal and the end of the
- * process with nothing between them.
+ * Checks that a node handles signals as soon as it listens. The test guards against a node that
+ * listens for callers before its SIGHUP handler is installed: a SIGHUP about a second after the
+ * start on a busy machine then ends the process without a log line.
  */
 public final class NodeSignalsTest {
 
@@ -47,7 +45,7 @@
       await(() -> accepts(callers) || !node.isAlive());
       node.signal("HUP");
       await(() -> hasStarted(log) || !node.isAlive());
-      assertTrue(node.isAlive(), "the node ended: " + log);
+      assertTrue(node.isAlive(), "the node exited: " + log);
     }
   }
 
@@ -57,10 +55,10 @@
     values.put("zone", "zone-a");
     values.put("ip", callers.getAddress().getHostAddress());
     values.put("limits.cpuCores", "1");
-    values.put("listen.front", Addresses.text(callers));
-    values.put("listen.ready", Addresses.text(addresses.real(1, 1, Addresses.READY_PORT)));
+    values.put("listen.front", Addresses.format(callers));
+    values.put("listen.ready", Addresses.format(addresses.real(1, 1, Addresses.READY_PORT)));
     values.put("internalPortRange.0", Integer.toString(Addresses.PEERS_PORT));
-    values.put("platform.address", Addresses.text(addresses.real(3, 1, Addresses.SERVICE_PORT)));
+    values.put("platform.address", Addresses.format(addresses.real(3, 1, Addresses.SERVICE_PORT)));
     return values;
   }
 
@@ -79,7 +77,7 @@
   private static void await(BooleanSupplier condition) throws InterruptedException {
     long end = System.nanoTime() + WAIT_NANOS;
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, "the condition did not come true in time");
+      assertTrue(System.nanoTime() < end, "the condition did not become true in time");
       Thread.sleep(1);
     }
   }
--- a/soak/src/test/java/org/lockdale/soak/run/PlanFileTest.java
+++ b/soak/src/test/java/org/lockdale/soak/run/PlanFileTest.java
@@ -9,7 +9,7 @@
 import org.lockdale.soak.plan.FaultPlan;
 import org.testng.annotations.Test;
 
-/** Plans are read as they were written. */
+/** Checks that plans are read as they were written. */
 public final class PlanFileTest {
 
   private static final int SEEDS = 50;
--- a/soak/src/test/java/org/lockdale/soak/run/SettingsTemplateTest.java
+++ b/soak/src/test/java/org/lockdale/soak/run/SettingsTemplateTest.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** Templates are filled as the platform fills them. */
+/** Checks that templates are filled as the platform fills them. */
 public final class SettingsTemplateTest {
 
   @Test
--- a/soak/src/test/java/org/lockdale/soak/run/SoakRunTest.java
+++ b/soak/src/test/java/org/lockdale/soak/run/SoakRunTest.java
@@ -13,8 +13,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Short runs of fixed seeds and of recorded plans with the built gateway. The plan of a seed that
- * failed is kept as a resource, since other faults may be drawn from the same seed later.
+ * Short runs of fixed seeds and of recorded plans with the built gateway. The plan of a failed seed
+ * is kept as a resource, since a later version of the code may draw other faults from the seed.
  */
 public final class SoakRunTest {
 
@@ -22,16 +22,16 @@
 
   @Test
   public void noRuleIsBroken() throws Exception {
-    play(1);
+    runPlan(1);
   }
 
-  /** Apart from the other seed, so that what is known of this one hides nothing of that one. */
+  /** Separate from the other seed, so that a known failure of this one hides none of that one. */
   @Test
   public void noRuleIsBrokenWhileWitnessesOfEndsAreKilled() throws Exception {
-    play(2);
+    runPlan(2);
   }
 
-  /** Plans by what happened when they were first played. */
+  /** Names of recorded plans, after what happened when they were first run. */
   @DataProvider(parallel = true)
   public static Object[][] recordedPlans() {
     return new Object[][] {
@@ -47,19 +47,19 @@
   @Test(dataProvider = "recordedPlans")
   public void noRuleIsBrokenByARecordedPlan(String name) throws Exception {
     PlanFile file = PlanFile.read(Path.of("src", "test", "resources", "plans", name + ".jsonl"));
-    play(file.plan(), file.deployment(), name);
+    runPlan(file.plan(), file.deployment(), name);
   }
 
-  private static void play(long seed) throws Exception {
+  private static void runPlan(long seed) throws Exception {
     Deployment deployment = Deployment.small();
-    play(FaultPlan.draw(seed, LENGTH_MILLIS, deployment), deployment, "seed-" + seed);
+    runPlan(FaultPlan.draw(seed, LENGTH_MILLIS, deployment), deployment, "seed-" + seed);
   }
 
-  private static void play(FaultPlan plan, Deployment deployment, String name) throws Exception {
+  private static void runPlan(FaultPlan plan, Deployment deployment, String name) throws Exception {
     Path root = Path.of("..").toAbsolutePath().normalize();
     assertTrue(
         Files.exists(root.resolve("target/lockdale-gateway.jar")),
-        "the gateway is built by mvn package at the root");
+        "target/lockdale-gateway.jar is missing; run mvn package at the root");
     Path directory = Path.of("target", "soak", name).toAbsolutePath();
     SoakResult result = new SoakRun(plan, deployment, root, directory, Map.of(), null).run();
     assertEquals(result.breaks(), List.of(), result.text());
