--- a/soak/src/main/java/org/lockdale/soak/run/GatewayProgram.java
+++ b/soak/src/main/java/org/lockdale/soak/run/GatewayProgram.java
@@ -20,10 +20,10 @@
   private final String commandLine;
   private final String settingsTemplate;
 
-  private GatewayProgram(Path root, String run, String template) {
+  private GatewayProgram(Path root, String commandLine, String settingsTemplate) {
     this.root = root;
-    this.commandLine = run;
-    this.settingsTemplate = template;
+    this.commandLine = commandLine;
+    this.settingsTemplate = settingsTemplate;
   }
 
   /**
@@ -33,12 +33,12 @@
    * @throws IOException if a file can't be read, or the deploy file has no {@code run} command
    */
   static GatewayProgram read(Path root) throws IOException {
-    Matcher run = COMMAND_LINE.matcher(Files.readString(root.resolve("deploy/system.toml")));
-    if (!run.find()) {
+    Matcher matcher = COMMAND_LINE.matcher(Files.readString(root.resolve("deploy/system.toml")));
+    if (!matcher.find()) {
       throw new IOException("deploy/system.toml has no line run = \"...\"");
     }
     return new GatewayProgram(
-        root, run.group(1), Files.readString(root.resolve("deploy/settings.yaml")));
+        root, matcher.group(1), Files.readString(root.resolve("deploy/settings.yaml")));
   }
 
   /**
--- a/soak/src/main/java/org/lockdale/soak/run/ManagedProcess.java
+++ b/soak/src/main/java/org/lockdale/soak/run/ManagedProcess.java
@@ -81,7 +81,10 @@
     return process.isAlive();
   }
 
-  /** Returns whether the process exited unexpectedly, later than the excused time after a pause. */
+  /**
+   * Returns whether the process exited unexpectedly, and later than {@link #SIGNAL_EXCUSE_MILLIS}
+   * after its start and the end of its last pause.
+   */
   boolean exitedUnexpectedly() {
     return hasExited() && !exitExpected && exitMillis - disruptedMillis > SIGNAL_EXCUSE_MILLIS;
   }
--- a/soak/src/main/java/org/lockdale/soak/run/NodeBuilds.java
+++ b/soak/src/main/java/org/lockdale/soak/run/NodeBuilds.java
@@ -25,8 +25,8 @@
    */
   record Build(GatewayProgram program, boolean isFormer) {}
 
-  private NodeBuilds(GatewayProgram present, @Nullable GatewayProgram former) {
-    this.current = present;
+  private NodeBuilds(GatewayProgram current, @Nullable GatewayProgram former) {
+    this.current = current;
     this.former = former;
   }
 
--- a/soak/src/main/java/org/lockdale/soak/run/Operator.java
+++ b/soak/src/main/java/org/lockdale/soak/run/Operator.java
@@ -45,10 +45,10 @@
   private long targetVersion = 1;
   private int addedRoutes;
 
-  Operator(NoteLog notes, StoreControl store, String cacheStore) {
+  Operator(NoteLog notes, StoreControl store, String cacheStoreAddress) {
     this.notes = notes;
     this.store = store;
-    this.cacheStoreAddress = cacheStore;
+    this.cacheStoreAddress = cacheStoreAddress;
     routes.put("safe", new Route(RequestKind.SAFE, "plain"));
     routes.put("unsafe", new Route(RequestKind.UNSAFE, "plain"));
     routes.put("moving", new Route(RequestKind.UNSAFE, "plain"));
--- a/soak/src/main/java/org/lockdale/soak/run/SoakCommand.java
+++ b/soak/src/main/java/org/lockdale/soak/run/SoakCommand.java
@@ -67,7 +67,7 @@
   @Option(
       names = "--directory",
       defaultValue = "target/soak",
-      description = "Directory for plans, notes and logs.")
+      description = "Directory for plans, notes, logs and results.")
   private Path directory;
 
   /** Runs the command line and exits with 0, or with 1 after a rule violation. */
--- a/soak/src/main/java/org/lockdale/soak/run/SoakRun.java
+++ b/soak/src/main/java/org/lockdale/soak/run/SoakRun.java
@@ -44,10 +44,12 @@
   /**
    * Creates a run.
    *
+   * @param plan faults to inject, with the length of the run and the seed of the traffic
+   * @param deployment processes to run
+   * @param root directory of the repository, with the built gateway
+   * @param directory where plan, notes, logs and result are written
    * @param boundOverrides bounds for the nodes that replace those of the checks, by their names in
    *     the deployment's settings; wrong ones show that the checks detect the violations
-   * @param root directory of the repository, with the built gateway
-   * @param directory where plan, notes and logs are written
    * @param former repository directory of a former build to run beside the current one, or null for
    *     none
    */
--- a/soak/src/main/java/org/lockdale/soak/run/StoreControl.java
+++ b/soak/src/main/java/org/lockdale/soak/run/StoreControl.java
@@ -50,6 +50,7 @@
     send("fault " + fault);
   }
 
+  /** Lets the store discard the history of its changes. */
   void discardHistory() {
     send("forget");
   }
--- a/soak/src/main/java/org/lockdale/soak/standin/Addresses.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/Addresses.java
@@ -68,15 +68,15 @@
 
   /** Returns the proxied address of a host, given by its real address. */
   static String proxiedHost(String real) {
-    return shifted(real, PROXIED_OFFSET);
+    return shiftThirdOctet(real, PROXIED_OFFSET);
   }
 
   /** Returns the real address of a host, given by its proxied address. */
   static String realHost(String proxied) {
-    return shifted(proxied, -PROXIED_OFFSET);
+    return shiftThirdOctet(proxied, -PROXIED_OFFSET);
   }
 
-  private static String shifted(String host, int offset) {
+  private static String shiftThirdOctet(String host, int offset) {
     String[] octets = host.split("\\.");
     octets[THIRD_OCTET] = Integer.toString(Integer.parseInt(octets[THIRD_OCTET]) + offset);
     return String.join(".", octets);
--- a/soak/src/main/java/org/lockdale/soak/standin/CacheStoreServer.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/CacheStoreServer.java
@@ -9,8 +9,8 @@
 
   private final CachedParts cache = new CachedParts();
 
-  CacheStoreServer(Life life) {
-    super(life, "prompts");
+  CacheStoreServer(Life incarnation) {
+    super(incarnation, "prompts");
   }
 
   @Override
--- a/soak/src/main/java/org/lockdale/soak/standin/EngineServer.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/EngineServer.java
@@ -40,13 +40,16 @@
   private boolean busy;
   private int running;
   private int queued;
+
+  /** Number of accepted orders, which the reports carry as the revision of the state. */
   private long revision;
+
   private long highestFence;
 
-  EngineServer(Life life, String service, String model, long weights) {
-    super(life, service);
+  EngineServer(Life incarnation, String service, String model, long weightsVersion) {
+    super(incarnation, service);
     this.model = model;
-    this.weightsVersion = weights;
+    this.weightsVersion = weightsVersion;
   }
 
   @Override
--- a/soak/src/main/java/org/lockdale/soak/standin/NodeReaper.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/NodeReaper.java
@@ -4,8 +4,9 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * Kills the gateway nodes of a run whose driver was killed. A node has no pipe to the driver and
- * does not notice its end; a stand-in does, and the driver sends it the process ids of the nodes.
+ * Kills the gateway nodes of a run whose driver was killed. A node does not read its standard input
+ * and so does not notice the end of the driver; a stand-in does, and the driver sends it the
+ * process ids of the nodes.
  */
 public final class NodeReaper {
 
--- a/soak/src/main/java/org/lockdale/soak/standin/PlainServer.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/PlainServer.java
@@ -18,8 +18,8 @@
 
   private int running;
 
-  PlainServer(Life life, String service) {
-    super(life, service);
+  PlainServer(Life incarnation, String service) {
+    super(incarnation, service);
   }
 
   @Override
--- a/soak/src/main/java/org/lockdale/soak/standin/ServerBase.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/ServerBase.java
@@ -84,8 +84,8 @@
     }
   }
 
-  ServerBase(Life life, String service) {
-    this.incarnation = life;
+  ServerBase(Life incarnation, String service) {
+    this.incarnation = incarnation;
     this.service = service;
   }
 
@@ -266,7 +266,7 @@
         HeaderNames.NOT_EXECUTED + ": 1" + drainingHeader(request));
   }
 
-  /** Records the start of a run and returns its id; a crashing request then ends the process. */
+  /** Records the start of a run and returns its id; a crashing request ends the process later. */
   final String startRun(Received request, long weights, long plannedMillis) {
     String run = instance() + "/" + runs.incrementAndGet();
     String[] line = request.line().split(" ");
