--- a/soak/src/main/java/org/lockdale/soak/standin/CacheStoreServer.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/CacheStoreServer.java
@@ -4,13 +4,13 @@
 import java.net.Socket;
 import org.lockdale.platform.RawBackend.Received;
 
-/** A store of cached parts; nothing else is sent to it. */
+/** A store of cached prompt parts; it rejects all other requests. */
 final class CacheStoreServer extends ServerBase {
 
   private final CachedParts cache = new CachedParts();
 
-  CacheStoreServer(Life life) {
-    super(life, "prompts");
+  CacheStoreServer(Life incarnation) {
+    super(incarnation, "prompts");
   }
 
   @Override
@@ -19,7 +19,7 @@
   }
 
   @Override
-  boolean control(Received request, Socket connection) throws IOException {
+  boolean serveControlRequest(Received request, Socket connection) throws IOException {
     return CacheCalls.serve(cache, request, connection);
   }
 
