--- a/http/src/main/java/org/lockdale/http/ConnectionPool.java
+++ b/http/src/main/java/org/lockdale/http/ConnectionPool.java
@@ -23,27 +23,35 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Idle connections by event loop and address. A connection carries one exchange at a time and stays
- * on its event loop, so a relay need not change threads between the caller and the engine.
+ * A pool of idle connections, by event loop and address. A connection carries one exchange at a
+ * time and stays on its event loop, so that data can be forwarded between a caller and an engine
+ * without a change of threads. The pool also counts the open connections to each address, for calls
+ * that limit them.
  */
 final class ConnectionPool {
 
   private static final int MAX_IDLE_PER_KEY = 256;
 
   /**
-   * Idle seconds after which the system asks whether the peer still hears, seconds between two
-   * questions, and questions without an answer after which the connection fails. Where nothing is
-   * due on a connection only this tells that it has gone silent. Three seconds in all, as less than
-   * one is not to be had, and links lose packets.
+   * Seconds without traffic after which the operating system sends the first TCP keepalive probe.
+   * While no data is due on a connection, only these probes detect that the peer is unreachable.
+   * With two probes a second apart, that takes three seconds in all: each of the times is at least
+   * one second, and a single probe may be lost on the network.
    */
   private static final int KEEP_ALIVE_IDLE_SECONDS = 1;
 
+  /** Seconds between two TCP keepalive probes. */
   private static final int KEEP_ALIVE_INTERVAL_SECONDS = 1;
+
+  /** Unacknowledged TCP keepalive probes after which the connection fails. */
   private static final int KEEP_ALIVE_PROBES = 2;
 
   private record Key(EventLoop eventLoop, InetSocketAddress address) {
 
-    /** Written out, since a record's own is linked anew in every process that calls it. */
+    /**
+     * Written by hand, because the generated method of a record is linked at run time, anew in each
+     * process that calls it.
+     */
     @Override
     public boolean equals(Object other) {
       return other instanceof Key key && eventLoop == key.eventLoop && address.equals(key.address);
@@ -55,22 +63,25 @@
     }
   }
 
-  /** Until when an idle connection may be used again, by {@link System#nanoTime}. */
+  /** Time by {@link System#nanoTime} until which an idle connection may be reused. */
   private static final AttributeKey<Long> USABLE_UNTIL =
       AttributeKey.valueOf(ConnectionPool.class, "usable-until");
 
-  /** When a connection came up, by {@link System#nanoTime}. */
+  /** Time by {@link System#nanoTime} at which a connection was established. */
   private static final AttributeKey<Long> CONNECTED_AT =
       AttributeKey.valueOf(ConnectionPool.class, "connected-at");
 
-  /** Whether a connection that is being closed has left its place to another one. */
-  private static final AttributeKey<Boolean> PLACE_GIVEN =
-      AttributeKey.valueOf(ConnectionPool.class, "place-given");
+  /**
+   * Set on a connection that is closed to make room for another one, which takes over its slot in
+   * the count of open connections.
+   */
+  private static final AttributeKey<Boolean> SLOT_TRANSFERRED =
+      AttributeKey.valueOf(ConnectionPool.class, "slot-transferred");
 
   private final Map<Key, Deque<Channel>> idle = new ConcurrentHashMap<>();
 
-  /** Connections that are open or being opened, by address, idle ones included. */
-  private final Map<InetSocketAddress, Integer> open = new ConcurrentHashMap<>();
+  /** Numbers of connections that are open or being opened, by address, including idle ones. */
+  private final Map<InetSocketAddress, Integer> openCounts = new ConcurrentHashMap<>();
 
   private final Duration connectTimeout;
 
@@ -83,49 +94,61 @@
   }
 
   /**
-   * Takes an idle connection or opens one.
+   * Takes an idle connection or opens a new one.
    *
-   * @return the connection; fails with an {@link HttpCallException} where that took more than the
-   *     given number to be open at once
+   * @param eventLoop event loop of the connection
+   * @param address peer
+   * @param maxConnections maximum number of connections to the peer, including idle ones; applies
+   *     only if a new one has to be opened
+   * @return the connection; fails with an {@link HttpCallException} if a new connection would
+   *     exceed the limit, and with the cause from Netty if it can't be established
    */
-  Future<Channel> acquire(EventLoop eventLoop, InetSocketAddress address, int mostConnections) {
+  Future<Channel> acquire(EventLoop eventLoop, InetSocketAddress address, int maxConnections) {
     Channel pooled = pollActive(new Key(eventLoop, address));
     if (pooled != null) {
       return eventLoop.newSucceededFuture(pooled);
     }
-    if (!takePlace(address, mostConnections)) {
+    if (!reserveSlot(address, maxConnections)) {
       return eventLoop.newFailedFuture(
           HttpCallException.atConnectionLimit(
-              mostConnections + " connections to it are open, which is this node's part"));
+              maxConnections + " connections to it are open, which is this node's part"));
     }
-    return connectInPlace(eventLoop, address);
+    return openConnection(eventLoop, address);
   }
 
-  /** Opens a new connection, which is not in the pool before it is released. */
+  /** Opens a new connection regardless of limits. It enters the pool only when it is released. */
   Future<Channel> connect(EventLoop eventLoop, InetSocketAddress address) {
-    takePlace(address, Integer.MAX_VALUE);
-    return connectInPlace(eventLoop, address);
+    reserveSlot(address, Integer.MAX_VALUE);
+    return openConnection(eventLoop, address);
   }
 
-  /** An idle connection of another event loop gives its place where there is no other. */
-  private boolean takePlace(InetSocketAddress address, int most) {
-    int before = open.merge(address, 1, Integer::sum) - 1;
-    if (before < most) {
+  /**
+   * Reserves a slot for a new connection to an address. At the limit, closes an idle connection to
+   * the address, of whichever event loop, and takes over its slot.
+   *
+   * @return whether the new connection may be opened
+   */
+  private boolean reserveSlot(InetSocketAddress address, int limit) {
+    int before = openCounts.merge(address, 1, Integer::sum) - 1;
+    if (before < limit) {
       return true;
     }
-    leavePlace(address);
-    return closeIdle(address);
+    releaseSlot(address);
+    return evictIdleConnection(address);
   }
 
-  private void leavePlace(InetSocketAddress address) {
-    open.computeIfPresent(address, (key, count) -> count == 1 ? null : count - 1);
+  private void releaseSlot(InetSocketAddress address) {
+    openCounts.computeIfPresent(address, (key, count) -> count == 1 ? null : count - 1);
   }
 
-  private boolean closeIdle(InetSocketAddress address) {
+  /**
+   * Closes one idle connection to an address without releasing its slot; false if there is none.
+   */
+  private boolean evictIdleConnection(InetSocketAddress address) {
     for (Map.Entry<Key, Deque<Channel>> each : idle.entrySet()) {
       Channel channel = each.getKey().address().equals(address) ? each.getValue().pollLast() : null;
       if (channel != null && channel.isActive()) {
-        channel.attr(PLACE_GIVEN).set(true);
+        channel.attr(SLOT_TRANSFERRED).set(true);
         channel.close();
         return true;
       }
@@ -133,13 +156,15 @@
     return false;
   }
 
-  private void left(Channel channel, InetSocketAddress address) {
-    if (channel.attr(PLACE_GIVEN).get() == null) {
-      leavePlace(address);
+  /** Releases the slot of a closed connection, unless another connection took it over. */
+  private void onClosed(Channel channel, InetSocketAddress address) {
+    if (channel.attr(SLOT_TRANSFERRED).get() == null) {
+      releaseSlot(address);
     }
   }
 
-  private Future<Channel> connectInPlace(EventLoop eventLoop, InetSocketAddress address) {
+  /** Opens a connection for which a slot is reserved, and releases the slot if that fails. */
+  private Future<Channel> openConnection(EventLoop eventLoop, InetSocketAddress address) {
     Promise<Channel> acquired = eventLoop.newPromise();
     new Bootstrap()
         .group(eventLoop)
@@ -168,17 +193,17 @@
               if (connected.isSuccess()) {
                 Channel channel = connected.channel();
                 channel.attr(CONNECTED_AT).set(System.nanoTime());
-                channel.closeFuture().addListener(closed -> left(channel, address));
+                channel.closeFuture().addListener(closed -> onClosed(channel, address));
                 acquired.setSuccess(channel);
               } else {
-                leavePlace(address);
+                releaseSlot(address);
                 acquired.setFailure(connected.cause());
               }
             });
     return acquired;
   }
 
-  /** Returns how long ago a connection came up, in nanoseconds. */
+  /** Returns the time since a connection was established, in nanoseconds; 0 before that. */
   static long ageNanos(Channel channel) {
     Long connectedAt = channel.attr(CONNECTED_AT).get();
     return connectedAt == null ? 0 : System.nanoTime() - connectedAt;
@@ -202,8 +227,8 @@
     return channel.isActive() && (usableUntil == null || System.nanoTime() - usableUntil < 0);
   }
 
-  /** Closes the idle connections to an address. */
-  void forget(InetSocketAddress address) {
+  /** Closes all idle connections to an address. */
+  void closeIdleConnections(InetSocketAddress address) {
     idle.forEach(
         (key, channels) -> {
           if (key.address().equals(address)) {
@@ -213,18 +238,22 @@
     idle.keySet().removeIf(key -> key.address().equals(address));
   }
 
-  /** Returns a connection that has carried nothing since it was acquired. */
+  /** Puts back a connection that was not used since it was acquired. */
   void release(Channel channel, InetSocketAddress address) {
-    park(channel, address);
+    addIdle(channel, address);
   }
 
-  /** Returns a connection after a whole exchange, for use again until a time. */
+  /**
+   * Puts back a connection after a complete exchange.
+   *
+   * @param usableUntilNanos time by {@link System#nanoTime} until which it may be reused
+   */
   void release(Channel channel, InetSocketAddress address, long usableUntilNanos) {
     channel.attr(USABLE_UNTIL).set(usableUntilNanos);
-    park(channel, address);
+    addIdle(channel, address);
   }
 
-  private void park(Channel channel, InetSocketAddress address) {
+  private void addIdle(Channel channel, InetSocketAddress address) {
     Deque<Channel> channels =
         idle.computeIfAbsent(
             new Key(channel.eventLoop(), address), key -> new ConcurrentLinkedDeque<>());
@@ -235,6 +264,7 @@
     channels.addFirst(channel);
   }
 
+  /** Removes a closed connection from the pool, if it is there. */
   void discard(Channel channel, InetSocketAddress address) {
     Deque<Channel> channels = idle.get(new Key(channel.eventLoop(), address));
     if (channels != null) {
--- a/http/src/main/java/org/lockdale/http/EarlyListener.java
+++ b/http/src/main/java/org/lockdale/http/EarlyListener.java
@@ -7,8 +7,8 @@
 import java.nio.channels.ServerSocketChannel;
 
 /**
- * A listening socket that is opened before the server that will serve it. Connections that come
- * while a process still starts wait in the socket's queue instead of being refused.
+ * A listening socket that is opened before its {@link HttpServer} starts. Connections that arrive
+ * while the process is still starting wait in the socket's backlog instead of being refused.
  */
 public final class EarlyListener implements Closeable {
 
@@ -21,9 +21,9 @@
   }
 
   /**
-   * Opens a socket.
+   * Opens a listening socket.
    *
-   * @param address where to listen
+   * @param address address to bind
    * @throws HttpBindException if the address can't be bound
    */
   public static EarlyListener open(InetSocketAddress address) {
@@ -37,7 +37,7 @@
     }
   }
 
-  /** Returns the address as it was asked for. */
+  /** Returns the address that was passed to {@link #open}; its port may be 0. */
   public InetSocketAddress address() {
     return address;
   }
@@ -46,13 +46,13 @@
     return channel;
   }
 
-  /** Closes the socket, also that of a server which was given it. */
+  /** Closes the socket, even if a server accepts connections on it by now. */
   @Override
   public void close() {
     try {
       channel.close();
     } catch (IOException ignored) {
-      // It is of no further use either way.
+      // The socket is no longer used, so a failure to close it has no consequence.
     }
   }
 }
--- a/http/src/main/java/org/lockdale/http/HttpBindException.java
+++ b/http/src/main/java/org/lockdale/http/HttpBindException.java
@@ -2,12 +2,17 @@
 
 import java.net.InetSocketAddress;
 
-/** An address could not be bound. */
+/** Thrown when a server can't listen on its address. */
 public final class HttpBindException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
-  /** Creates a failure for an address. */
+  /**
+   * Creates an exception.
+   *
+   * @param address the address that can't be bound
+   * @param cause why
+   */
   public HttpBindException(InetSocketAddress address, Throwable cause) {
     super(
         "Can't listen on "
--- a/http/src/main/java/org/lockdale/http/HttpCall.java
+++ b/http/src/main/java/org/lockdale/http/HttpCall.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.jspecify.annotations.Nullable;
 
-/** A call in progress. */
+/** A request that was passed to {@link HttpClient#send} and its reply. */
 public final class HttpCall {
 
   private final AtomicBoolean ended = new AtomicBoolean();
@@ -15,12 +15,13 @@
   HttpCall() {}
 
   /**
-   * Gives the call up: the listener hears nothing more and the connection is closed, never reused.
+   * Cancels the call: nothing more is reported to the listener, and its connection is closed
+   * instead of being reused.
    *
    * @return whether the call was still in progress
    */
   public boolean cancel() {
-    boolean first = end();
+    boolean first = tryEnd();
     Channel current = channel;
     if (first && current != null) {
       current.close();
@@ -28,7 +29,7 @@
     return first;
   }
 
-  /** Returns how long ago the connection that carries the call came up; 0 before it has one. */
+  /** Returns the age of the call's connection in milliseconds; 0 while the call has none. */
   public long connectionAgeMillis() {
     Channel current = channel;
     return current == null ? 0 : TimeUnit.NANOSECONDS.toMillis(ConnectionPool.ageNanos(current));
@@ -39,8 +40,8 @@
     return sent;
   }
 
-  /** Takes the right to report the end of the call; true once. */
-  boolean end() {
+  /** Marks the call as ended; true only for the first caller, who alone reports the end. */
+  boolean tryEnd() {
     return ended.compareAndSet(false, true);
   }
 
--- a/http/src/main/java/org/lockdale/http/HttpCallException.java
+++ b/http/src/main/java/org/lockdale/http/HttpCallException.java
@@ -1,17 +1,20 @@
 package org.lockdale.http;
 
-/** A call that did not bring a whole reply. */
+/** Thrown when a call ends without a complete reply. */
 public final class HttpCallException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
-  /** How far a failed call had come. */
+  /** How far a call had got when it failed. */
   public enum Stage {
     /** No byte of the request left this process, so the peer can't have acted on it. */
     NOT_SENT,
-    /** The request may have reached the peer; no reply came. */
+    /**
+     * The request may have reached the peer, but no valid head of a reply was received, or the
+     * reply was not complete within the timeout of {@link HttpClient#exchange}.
+     */
     NO_REPLY,
-    /** The reply broke off. */
+    /** The reply ended before it was complete, was invalid after its head, or was too large. */
     BROKEN_REPLY
   }
 
@@ -35,23 +38,24 @@
     this.atConnectionLimit = atConnectionLimit;
   }
 
+  /** Returns the failure of a call that would have exceeded its limit of connections. */
   static HttpCallException atConnectionLimit(String message) {
     return new HttpCallException(Stage.NOT_SENT, false, true, message);
   }
 
-  /** Returns how far the call had come. */
+  /** Returns how far the call had got. */
   public Stage stage() {
     return stage;
   }
 
-  /** Returns whether the call was not sent as its caller allows no further connection. */
+  /** Returns whether the call was not sent because its limit of connections was reached. */
   public boolean isAtConnectionLimit() {
     return atConnectionLimit;
   }
 
   /**
-   * Returns whether the peer, or something on the way, closed the connection; otherwise this
-   * process gave the call up.
+   * Returns whether the peer or the network closed the connection; if not, this process ended the
+   * call.
    */
   public boolean isClosedByPeer() {
     return closedByPeer;
--- a/http/src/main/java/org/lockdale/http/HttpClient.java
+++ b/http/src/main/java/org/lockdale/http/HttpClient.java
@@ -21,23 +21,24 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** An HTTP/1.1 client with pooled connections, one exchange a connection at a time. */
+/** An HTTP/1.1 client with pooled connections, each of which carries one exchange at a time. */
 public final class HttpClient {
 
   /**
-   * A proxy learns within a round trip that nobody listens behind it. One that looks up first whose
-   * connection it is takes longer, and all the more on a loaded machine.
+   * Time for which a probe waits to see whether the peer closes a new connection, in milliseconds.
+   * A proxy finds out within a round trip that no process listens behind it; one that first looks
+   * up whose connection it is takes longer, especially on a loaded machine.
    */
-  private static final long CLOSED_AT_ONCE_MILLIS = 250;
+  private static final long CLOSE_DETECTION_MILLIS = 250;
 
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
   private static final int MAX_REPLY_BYTES = 64 * 1024 * 1024;
 
-  /** Told of each exchange that brought a whole reply. */
+  /** Receives the sizes of each exchange that ended with a complete reply. */
   @FunctionalInterface
   public interface ExchangeListener {
     /**
-     * Called on any thread.
+     * Called after an exchange, on any thread.
      *
      * @param path path of the request with its query
      * @param sentBytes bytes of the request's body
@@ -48,7 +49,7 @@
 
   private final EventLoopGroup group;
   private final ConnectionPool pool;
-  private final ExchangeListener exchanges;
+  private final ExchangeListener exchangeListener;
 
   /**
    * Creates a client.
@@ -63,7 +64,7 @@
    * Creates a client.
    *
    * @param group event loops for calls that name none
-   * @param connectTimeout longest time for a connection to come up
+   * @param connectTimeout maximum time to establish a connection
    */
   public HttpClient(EventLoopGroup group, Duration connectTimeout) {
     this(group, new ConnectionPool(connectTimeout));
@@ -73,37 +74,38 @@
    * Creates a client.
    *
    * @param group event loops for calls that name none
-   * @param connectTimeout longest time for a connection to come up
-   * @param exchanges told of what {@link #exchange} has read
+   * @param connectTimeout maximum time to establish a connection
+   * @param exchangeListener notified of each completed {@link #exchange}
    */
-  public HttpClient(EventLoopGroup group, Duration connectTimeout, ExchangeListener exchanges) {
-    this(group, new ConnectionPool(connectTimeout), exchanges);
+  public HttpClient(
+      EventLoopGroup group, Duration connectTimeout, ExchangeListener exchangeListener) {
+    this(group, new ConnectionPool(connectTimeout), exchangeListener);
   }
 
   /**
    * Creates a client.
    *
    * @param group event loops for calls that name none
-   * @param pool idle connections
+   * @param pool connections to use
    */
   HttpClient(EventLoopGroup group, ConnectionPool pool) {
     this(group, pool, (path, sentBytes, receivedBytes) -> {});
   }
 
-  private HttpClient(EventLoopGroup group, ConnectionPool pool, ExchangeListener exchanges) {
+  private HttpClient(EventLoopGroup group, ConnectionPool pool, ExchangeListener exchangeListener) {
     this.group = group;
     this.pool = pool;
-    this.exchanges = exchanges;
+    this.exchangeListener = exchangeListener;
   }
 
   /**
-   * Sends a request and hands the reply to a listener part by part.
+   * Sends a request and passes the reply to a listener part by part.
    *
    * @param eventLoop the event loop that carries the call and calls the listener
    * @param address peer
    * @param request what to send
    * @param listener receives the reply
-   * @return the call, by which it can be given up
+   * @return the call, which can be cancelled
    */
   public HttpCall send(
       EventLoop eventLoop,
@@ -115,23 +117,24 @@
 
   /**
    * Sends a request as {@link #send(EventLoop, InetSocketAddress, HttpRequestMessage,
-   * HttpResponseListener)} does, unless that took more than some connections to the peer at once.
+   * HttpResponseListener)} does, unless that would exceed a limit of connections to the peer. In
+   * that case the call fails, and {@link HttpCallException#isAtConnectionLimit} is true.
    *
    * @param eventLoop the event loop that carries the call and calls the listener
    * @param address peer
    * @param request what to send
    * @param listener receives the reply
-   * @param mostConnections most connections that may be open to the peer, idle ones included
-   * @return the call, by which it can be given up
+   * @param maxConnections maximum number of open connections to the peer, including idle ones
+   * @return the call, which can be cancelled
    */
   public HttpCall send(
       EventLoop eventLoop,
       InetSocketAddress address,
       HttpRequestMessage request,
       HttpResponseListener listener,
-      int mostConnections) {
+      int maxConnections) {
     HttpCall call = new HttpCall();
-    sendOverPool(eventLoop, address, request, call, listener, mostConnections);
+    sendOverPool(eventLoop, address, request, call, listener, maxConnections);
     return call;
   }
 
@@ -141,13 +144,13 @@
       HttpRequestMessage request,
       HttpCall call,
       HttpResponseListener listener,
-      int mostConnections) {
-    pool.acquire(eventLoop, address, mostConnections)
+      int maxConnections) {
+    pool.acquire(eventLoop, address, maxConnections)
         .addListener(
             (Future<Channel> acquired) -> {
               if (acquired.isSuccess()) {
-                write(acquired.getNow(), address, request, call, listener, mostConnections);
-              } else if (call.end()) {
+                write(acquired.getNow(), address, request, call, listener, maxConnections);
+              } else if (call.tryEnd()) {
                 listener.onFailure(notSent(acquired.cause()));
               }
             });
@@ -165,26 +168,28 @@
       HttpRequestMessage request,
       HttpCall call,
       HttpResponseListener listener,
-      int mostConnections) {
+      int maxConnections) {
     if (call.hasEnded()) {
       pool.release(channel, address);
       return;
     }
     if (!channel.isActive()) {
-      // A caller on another thread acquired it just before this event loop closed it.
-      sendOverPool(channel.eventLoop(), address, request, call, listener, mostConnections);
+      // The pool handed it out to another thread just before this event loop closed it.
+      sendOverPool(channel.eventLoop(), address, request, call, listener, maxConnections);
       return;
     }
     if (!listener.maySend()) {
       pool.release(channel, address);
-      if (call.end()) {
+      if (call.tryEnd()) {
         listener.onFailure(
-            new HttpCallException(HttpCallException.Stage.NOT_SENT, "it may not be sent any more"));
+            new HttpCallException(
+                HttpCallException.Stage.NOT_SENT,
+                "the caller does not allow it to be sent any more"));
       }
       return;
     }
     call.attach(channel);
-    channel.pipeline().get(ResponseReader.class).begin(call, listener);
+    channel.pipeline().get(ResponseReader.class).start(call, listener);
     DefaultFullHttpRequest message =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
@@ -202,16 +207,16 @@
     channel.writeAndFlush(message, channel.voidPromise());
   }
 
-  /** Closes the idle connections to a peer that has gone. */
+  /** Closes the idle connections to a peer. */
   public void forget(InetSocketAddress address) {
-    pool.forget(address);
+    pool.closeIdleConnections(address);
   }
 
   /**
-   * Opens a connection to a peer and closes it again, to learn whether a process listens there.
+   * Checks whether a process listens at an address by opening a connection and closing it again.
    *
    * @param address peer
-   * @return what the peer did; never fails
+   * @return what the peer did with the connection; never fails
    */
   public CompletableFuture<Reachability> probe(InetSocketAddress address) {
     CompletableFuture<Reachability> result = new CompletableFuture<>();
@@ -236,7 +241,7 @@
               result.complete(Reachability.ACCEPTS);
               channel.close();
             },
-            CLOSED_AT_ONCE_MILLIS,
+            CLOSE_DETECTION_MILLIS,
             TimeUnit.MILLISECONDS);
   }
 
@@ -253,12 +258,12 @@
   }
 
   /**
-   * Sends a request and collects the whole reply.
+   * Sends a request and collects the complete reply.
    *
    * @param address peer
    * @param request what to send
-   * @param timeout longest time to wait for the whole reply
-   * @return the reply; fails with {@link HttpCallException} where none came in time
+   * @param timeout maximum time until the reply is complete
+   * @return the reply; fails with {@link HttpCallException} if the call fails or times out
    */
   public CompletableFuture<HttpReply> exchange(
       InetSocketAddress address, HttpRequestMessage request, Duration timeout) {
@@ -273,8 +278,8 @@
                       ? HttpCallException.Stage.NO_REPLY
                       : HttpCallException.Stage.NOT_SENT;
               if (call.cancel()) {
-                // What made this connection silent may have met all that are open to the peer.
-                pool.forget(address);
+                // Other open connections to the peer may be unresponsive for the same reason.
+                pool.closeIdleConnections(address);
                 result.completeExceptionally(
                     new HttpCallException(stage, address + ": no reply within " + timeout));
               }
@@ -283,7 +288,9 @@
             TimeUnit.MILLISECONDS);
     result.whenComplete((reply, failure) -> timer.cancel(false));
     result.thenAccept(
-        reply -> exchanges.onExchange(request.path(), request.body().length, reply.body().length));
+        reply ->
+            exchangeListener.onExchange(
+                request.path(), request.body().length, reply.body().length));
     return result;
   }
 
--- a/http/src/main/java/org/lockdale/http/HttpExchange.java
+++ b/http/src/main/java/org/lockdale/http/HttpExchange.java
@@ -22,9 +22,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One request and its reply. A reply is either whole ({@link #reply}) or a stream ({@link
- * #startStream}, {@link #write}, {@link #endStream}). Methods may be called from any thread; the
- * first one to end the exchange wins and later calls are ignored.
+ * One request and its reply. A reply is either sent at once ({@link #reply}) or as a stream ({@link
+ * #startStream}, {@link #write}, {@link #endStream}). Methods may be called from any thread. The
+ * first call that ends the exchange takes effect; later ones are ignored.
  */
 public final class HttpExchange {
 
@@ -68,17 +68,17 @@
     return request.headers();
   }
 
-  /** Returns a request header, or null where it is absent. */
+  /** Returns the value of a request header, or null if it is absent. */
   public @Nullable String header(CharSequence name) {
     return request.headers().get(name);
   }
 
-  /** Returns the whole request body. */
+  /** Returns the complete request body; empty if there is none. */
   public byte[] body() {
     return body;
   }
 
-  /** Returns when the first byte of the request was read, by {@link System#nanoTime}. */
+  /** Returns the time by {@link System#nanoTime} at which the request's head was read. */
   public long receivedNanos() {
     return receivedNanos;
   }
@@ -88,29 +88,29 @@
     return channel.eventLoop();
   }
 
-  /** Returns a future that completes if the caller goes away before the exchange has ended. */
+  /** Returns a future that completes if the caller disconnects before the exchange has ended. */
   public CompletableFuture<Void> disconnected() {
     return disconnected;
   }
 
-  /** Returns whether the caller's socket takes more data without queueing. */
+  /** Returns whether the connection's write buffer is below its high-water mark. */
   public boolean isWritable() {
     return channel.isWritable();
   }
 
-  /** Returns the number of bytes that wait for the caller's socket. */
+  /** Returns the number of bytes that are queued for the caller's socket. */
   public long queuedBytes() {
     return channel.unsafe().outboundBuffer() == null
         ? 0
         : channel.unsafe().outboundBuffer().totalPendingWriteBytes();
   }
 
-  /** Closes the connection after this exchange; to be called before the reply begins. */
+  /** Closes the connection after this exchange; must be called before the reply starts. */
   public void closeAfterReply() {
     keepAlive = false;
   }
 
-  /** Sends a whole reply and ends the exchange. */
+  /** Sends a complete reply and ends the exchange. */
   public void reply(HttpReply reply) {
     if (!ended.compareAndSet(false, true)) {
       return;
@@ -118,7 +118,7 @@
     finish(channel.writeAndFlush(markConnection(reply.toResponse())));
   }
 
-  /** Sends the head of a streamed reply. */
+  /** Writes the head of a streamed reply, without flushing it. */
   public void startStream(int status, HttpHeaders headers) {
     HttpResponse response =
         new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
@@ -132,7 +132,7 @@
     return channel.alloc().buffer(initialBytes);
   }
 
-  /** Sends what was written so far without waiting for more. */
+  /** Flushes what was written so far to the socket. */
   public void flush() {
     channel.flush();
   }
@@ -153,10 +153,10 @@
     }
   }
 
-  /** Breaks the reply off by closing the connection, so that the caller sees it is not whole. */
+  /** Closes the connection, so that the caller can tell that the reply is incomplete. */
   public void abort() {
     if (ended.compareAndSet(false, true)) {
-      // An empty write comes after all earlier ones, so what was sent before still arrives.
+      // An empty write is queued behind all earlier ones, so these are still sent before the close.
       channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
       onEnded.run();
     }
--- a/http/src/main/java/org/lockdale/http/HttpProtocolError.java
+++ b/http/src/main/java/org/lockdale/http/HttpProtocolError.java
@@ -1,10 +1,10 @@
 package org.lockdale.http;
 
-/** Ways in which a request can be refused before a handler sees it. */
+/** Reasons for which a request is rejected before it reaches the handler. */
 public enum HttpProtocolError {
-  /** The request line, a header or the framing can't be read. */
+  /** The request line, a header or the framing can't be parsed. */
   MALFORMED_REQUEST(400, "The request is not valid HTTP/1.1; check the client library."),
-  /** The body did not arrive within the request timeout. */
+  /** The request was not complete within the request timeout. */
   REQUEST_TIMEOUT(408, "The request body arrived too slowly; send it without pauses."),
   /** The body is larger than the limit. */
   BODY_TOO_LARGE(413, "The request body is over the limit; shorten the prompt."),
@@ -19,12 +19,12 @@
     this.remedy = remedy;
   }
 
-  /** Returns the HTTP status code of the answer. */
+  /** Returns the HTTP status code of the reply. */
   public int status() {
     return status;
   }
 
-  /** Returns a sentence that says what is wrong and how to mend it. */
+  /** Returns a sentence that states what is wrong and how to correct it. */
   public String remedy() {
     return remedy;
   }
--- a/http/src/main/java/org/lockdale/http/HttpReply.java
+++ b/http/src/main/java/org/lockdale/http/HttpReply.java
@@ -11,10 +11,10 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A whole HTTP reply.
+ * A complete HTTP response, as a server sends it or a client has received it.
  *
  * @param status HTTP status code
- * @param headers reply headers; content length is added when it is sent
+ * @param headers reply headers; the content length is added when the reply is sent
  * @param body reply body
  */
 public record HttpReply(int status, HttpHeaders headers, byte[] body) {
@@ -27,7 +27,7 @@
 
   private static final byte[] EMPTY = new byte[0];
 
-  /** Returns a reply with one content type and no further headers. */
+  /** Returns a reply whose only header is the content type. */
   public static HttpReply of(int status, String contentType, byte[] body) {
     HttpHeaders headers = new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, contentType);
     return new HttpReply(status, headers, body);
@@ -54,7 +54,7 @@
     return this;
   }
 
-  /** Returns the reply as Netty sends it. */
+  /** Converts the reply to a Netty response with its content length. */
   FullHttpResponse toResponse() {
     DefaultFullHttpResponse response =
         new DefaultFullHttpResponse(
@@ -64,7 +64,7 @@
     return response;
   }
 
-  /** Returns the body as text. */
+  /** Returns the body decoded as UTF-8. */
   public String bodyText() {
     return new String(body, StandardCharsets.UTF_8);
   }
--- a/http/src/main/java/org/lockdale/http/HttpRequestMessage.java
+++ b/http/src/main/java/org/lockdale/http/HttpRequestMessage.java
@@ -5,18 +5,19 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
- * A request to send.
+ * A request to be sent by {@link HttpClient}.
  *
  * @param method HTTP method
  * @param path path and query
- * @param headers request headers; host and content length are added when it is sent
+ * @param headers request headers; host, unless present, and content length are added when the
+ *     request is sent
  * @param body request body
  */
 public record HttpRequestMessage(HttpMethod method, String path, HttpHeaders headers, byte[] body) {
 
   private static final byte[] EMPTY = new byte[0];
 
-  /** Returns a request without a body. */
+  /** Returns a {@code GET} request without a body. */
   public static HttpRequestMessage get(String path) {
     return new HttpRequestMessage(HttpMethod.GET, path, new DefaultHttpHeaders(), EMPTY);
   }
--- a/http/src/main/java/org/lockdale/http/HttpResponseListener.java
+++ b/http/src/main/java/org/lockdale/http/HttpResponseListener.java
@@ -4,36 +4,37 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Receives one reply part by part, on the call's event loop. After {@link #onEnd} or {@link
- * #onFailure} nothing more comes.
+ * Receives one reply part by part, on the call's event loop. No method is called after {@link
+ * #onEnd} or {@link #onFailure}.
  */
 public interface HttpResponseListener {
 
   /**
-   * Returns whether a reply belongs to this call. One that doesn't is a surplus reply to an earlier
-   * call on the same connection; it is dropped, and the call waits for the next one.
+   * Returns whether a reply belongs to this call. If not, it is a surplus reply to an earlier call
+   * on the same connection: it is discarded, and the call waits for the next reply.
    */
   default boolean accepts(int status, HttpHeaders headers) {
     return true;
   }
 
   /**
-   * Returns whether the request may still be sent. Asked when a connection is at hand, right before
-   * the first byte leaves; if not, the call fails as not sent.
+   * Returns whether the request may still be sent. Called when a connection is available, right
+   * before the first byte is written. If false, the call fails at {@link
+   * HttpCallException.Stage#NOT_SENT}.
    */
   default boolean maySend() {
     return true;
   }
 
-  /** Receives the head of the reply. */
+  /** Receives the status and the headers of the reply. */
   void onHead(int status, HttpHeaders headers);
 
   /** Receives a part of the body; the buffer is only valid during the call. */
   void onContent(ByteBuf content);
 
-  /** Called when the reply is whole. */
+  /** Called when the reply is complete. */
   void onEnd();
 
-  /** Called when the reply can't become whole. */
+  /** Called when the call fails before its reply is complete. */
   void onFailure(HttpCallException failure);
 }
--- a/http/src/main/java/org/lockdale/http/HttpServer.java
+++ b/http/src/main/java/org/lockdale/http/HttpServer.java
@@ -23,16 +23,18 @@
 /** An HTTP/1.1 server on one address. */
 public final class HttpServer implements Closeable {
 
+  /** Connections that may wait to be accepted. */
   static final int LISTEN_BACKLOG = 4096;
 
-  /** Netty's own figure for sockets, after which other connections get their turn. */
-  private static final int MAX_READS_IN_A_ROW = 16;
+  /** Netty's default for sockets; after as many reads, other connections get their turn. */
+  private static final int MAX_CONSECUTIVE_READS = 16;
 
   /**
-   * Part of the bound of connections that is kept for those which still come after load balancers
-   * were told to send no more: they take two seconds to notice.
+   * One in this many of the allowed connections is held in reserve when the server reports whether
+   * it has room. Load balancers take two seconds to notice that it has none, and the reserve serves
+   * the connections that they still open in that time.
    */
-  private static final int RESERVED_PART = 8;
+  private static final int RESERVE_DIVISOR = 8;
 
   private final HttpServerSettings settings;
   private final Channel listener;
@@ -45,7 +47,7 @@
   }
 
   /**
-   * Binds the address and starts to serve.
+   * Binds the address and starts to accept connections.
    *
    * @param settings address and limits
    * @param group event loops of the listener and its connections
@@ -55,17 +57,17 @@
    */
   public static HttpServer start(
       HttpServerSettings settings, EventLoopGroup group, HttpHandler handler) {
-    ChannelGroup connections = openConnections();
+    ChannelGroup connections = newConnectionGroup();
     ServerBootstrap bootstrap =
         bootstrap(settings, group, handler, connections)
             .channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
             .option(ChannelOption.SO_REUSEADDR, true);
-    return started(settings, bootstrap.bind(settings.listenAddress()), connections);
+    return awaitListening(settings, bootstrap.bind(settings.listenAddress()), connections);
   }
 
   /**
-   * Starts to serve on a socket that listens already, first of all what waits there.
+   * Starts to accept connections on a socket that listens already, including those in its backlog.
    *
    * @param settings limits
    * @param group event loops of the listener and its connections
@@ -79,18 +81,19 @@
       EventLoopGroup group,
       HttpHandler handler,
       EarlyListener listener) {
-    ChannelGroup connections = openConnections();
+    ChannelGroup connections = newConnectionGroup();
     ServerBootstrap bootstrap =
         bootstrap(settings, group, handler, connections)
             .channelFactory(() -> new NioServerSocketChannel(listener.channel()));
-    return started(settings, bootstrap.register(), connections);
+    return awaitListening(settings, bootstrap.register(), connections);
   }
 
   /**
-   * Once closed, the group closes what joins it: a connection that was accepted just before a close
-   * joins after it, and would stay open with nobody to serve it.
+   * Returns a group that, once closed, also closes connections that are added to it later. A
+   * connection that was accepted just before the server closed is added after that, and would
+   * otherwise stay open without being served.
    */
-  private static ChannelGroup openConnections() {
+  private static ChannelGroup newConnectionGroup() {
     return new DefaultChannelGroup(GlobalEventExecutor.INSTANCE, true);
   }
 
@@ -102,18 +105,22 @@
     return new ServerBootstrap()
         .group(group)
         .childOption(ChannelOption.TCP_NODELAY, true)
-        .childOption(ChannelOption.RECVBUF_ALLOCATOR, untilEmpty())
+        .childOption(ChannelOption.RECVBUF_ALLOCATOR, readUntilEmpty())
         .childHandler(new ConnectionInitializer(settings, handler, connections));
   }
 
-  /** Reads on until the socket has no more, so that a close is seen together with a request. */
-  private static RecvByteBufAllocator untilEmpty() {
+  /**
+   * Returns an allocator that lets Netty read until the socket is empty, so that a close of the
+   * connection is detected together with the request before it.
+   */
+  private static RecvByteBufAllocator readUntilEmpty() {
     return new AdaptiveRecvByteBufAllocator()
         .respectMaybeMoreData(false)
-        .maxMessagesPerRead(MAX_READS_IN_A_ROW);
+        .maxMessagesPerRead(MAX_CONSECUTIVE_READS);
   }
 
-  private static HttpServer started(
+  /** Waits until the listener is open and returns the running server. */
+  private static HttpServer awaitListening(
       HttpServerSettings settings, ChannelFuture listening, ChannelGroup connections) {
     listening.awaitUninterruptibly();
     if (!listening.isSuccess()) {
@@ -132,23 +139,23 @@
     return connections.size();
   }
 
-  /** Returns whether new connections are served, with some to spare. */
+  /** Returns whether connections are accepted and more than the reserve is left of the limit. */
   public boolean hasRoom() {
-    int most = settings.maxConnections();
-    return listener.isOpen() && connections.size() < most - most / RESERVED_PART;
+    int limit = settings.maxConnections();
+    return listener.isOpen() && connections.size() < limit - limit / RESERVE_DIVISOR;
   }
 
-  /** Stops accepting connections; open ones go on. */
+  /** Stops accepting connections; open ones stay open. */
   public void stopAccepting() {
     listener.close().awaitUninterruptibly();
   }
 
-  /** Closes the open connections and goes on accepting new ones, as a failing network would. */
+  /** Closes the open connections, as a network fault would; new ones are still accepted. */
   public void dropConnections() {
     connections.forEach(connection -> connection.close().awaitUninterruptibly());
   }
 
-  /** Closes the connections on which no request is open or under way. */
+  /** Closes the connections on which no request is being received or handled. */
   public void closeIdleConnections() {
     for (Channel connection : connections) {
       connection
--- a/http/src/main/java/org/lockdale/http/HttpServerSettings.java
+++ b/http/src/main/java/org/lockdale/http/HttpServerSettings.java
@@ -4,14 +4,17 @@
 import java.time.Duration;
 
 /**
- * Limits of one {@link HttpServer}; every buffer that a stranger can fill is bounded here.
+ * Address and limits of an {@link HttpServer}. They bound every buffer that an untrusted client can
+ * fill.
  *
- * @param listenAddress address to bind; port 0 takes a free port
- * @param maxHeaderBytes largest total size of request headers, in bytes
- * @param maxBodyBytes largest request body, in bytes
- * @param requestTimeout longest time between the first byte of a request and its last
- * @param idleTimeout longest time a connection may stay open without a request
- * @param maxConnections most connections open at once; further ones are closed on arrival
+ * @param listenAddress address to bind; port 0 selects a free port
+ * @param maxHeaderBytes maximum total size of the request headers, and of the request line, in
+ *     bytes
+ * @param maxBodyBytes maximum size of a request body, in bytes
+ * @param requestTimeout maximum time between the head of a request and its last byte
+ * @param idleTimeout time without received data after which a connection that has no request is
+ *     closed
+ * @param maxConnections maximum number of open connections; further ones are closed on arrival
  */
 public record HttpServerSettings(
     InetSocketAddress listenAddress,
@@ -38,7 +41,7 @@
         DEFAULT_MAX_CONNECTIONS);
   }
 
-  /** Returns these settings with another bound of connections. */
+  /** Returns a copy of these settings with another maximum number of connections. */
   public HttpServerSettings withMaxConnections(int newMaxConnections) {
     return new HttpServerSettings(
         listenAddress,
--- a/http/src/main/java/org/lockdale/http/LoopbackPorts.java
+++ b/http/src/main/java/org/lockdale/http/LoopbackPorts.java
@@ -12,58 +12,62 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Chooses ports on loopback for processes that are told their address before they listen. A port
- * that the system hands out may be handed out again, to any outgoing connection, before the process
- * binds it; on a busy machine a build failed of that. These lie below the range that systems hand
- * out from, so that only another listener can take one. A port is given once to a process, as one
- * that is given and not yet bound looks free: three nodes with three addresses each met in one of
- * 800 starts.
+ * Chooses loopback ports for processes whose addresses are needed before they listen. An ephemeral
+ * port from the operating system may be assigned again, to any outgoing connection, before the
+ * process binds it, which can fail a build on a busy machine. The ports of this class lie below the
+ * ephemeral range, so only another listener can take one. A port that was returned is not returned
+ * again in the same JVM, because it looks free until it is bound: without that, the nine addresses
+ * of three nodes collided in one of 800 starts.
  */
 public final class LoopbackPorts {
 
-  /** Ports below are commonly taken by services. */
-  private static final int FIRST = 10_000;
+  /** First port to choose from; services commonly use those below. */
+  private static final int FIRST_PORT = 10_000;
 
-  /** Linux hands out ports from here on by default. */
-  private static final int END = 32_768;
+  /** End of the ports to choose from, exclusive; the ephemeral range of Linux starts here. */
+  private static final int END_PORT = 32_768;
 
   private static final int MAX_TRIES = 1_000;
 
-  /** Half of them; those given first have long been bound, or never will be. */
-  private static final int MOST_GIVEN = (END - FIRST) / 2;
+  /**
+   * Number of returned ports, half of the range, above which they are forgotten. By then the first
+   * ones have long been bound or will never be.
+   */
+  private static final int MAX_ASSIGNED = (END_PORT - FIRST_PORT) / 2;
 
-  private static final Set<Integer> GIVEN = new HashSet<>();
+  private static final Set<Integer> ASSIGNED = new HashSet<>();
 
   private LoopbackPorts() {}
 
   /**
-   * Returns a loopback address that is free for TCP and for UDP.
+   * Returns a loopback address whose port is free for both TCP and UDP.
    *
-   * @throws IllegalStateException if none was found
+   * @throws IllegalStateException if no free port is found
    */
   public static InetSocketAddress free() {
     return free(1).get(0);
   }
 
   /**
-   * Returns loopback addresses that are free for TCP and for UDP, each with a port of its own.
+   * Returns loopback addresses with distinct ports that are free for both TCP and UDP.
    *
-   * @throws IllegalStateException if there are too few
+   * @param count number of addresses
+   * @throws IllegalStateException if too few free ports are found
    */
   public static synchronized List<InetSocketAddress> free(int count) {
-    if (GIVEN.size() > MOST_GIVEN) {
-      GIVEN.clear();
+    if (ASSIGNED.size() > MAX_ASSIGNED) {
+      ASSIGNED.clear();
     }
     InetAddress loopback = InetAddress.getLoopbackAddress();
     Set<InetSocketAddress> addresses = new LinkedHashSet<>();
     for (int attempt = 0; addresses.size() < count; attempt++) {
       if (attempt == MAX_TRIES) {
         throw new IllegalStateException(
-            "there are too few free ports on loopback; stop what holds them");
+            "there are too few free ports on loopback; stop processes that hold ports");
       }
-      int port = ThreadLocalRandom.current().nextInt(FIRST, END);
-      if (!GIVEN.contains(port) && isFree(loopback, port)) {
-        GIVEN.add(port);
+      int port = ThreadLocalRandom.current().nextInt(FIRST_PORT, END_PORT);
+      if (!ASSIGNED.contains(port) && isFree(loopback, port)) {
+        ASSIGNED.add(port);
         addresses.add(new InetSocketAddress(loopback, port));
       }
     }
--- a/http/src/main/java/org/lockdale/http/Reachability.java
+++ b/http/src/main/java/org/lockdale/http/Reachability.java
@@ -1,16 +1,16 @@
 package org.lockdale.http;
 
-/** What a peer does with a new connection. */
+/** How a peer reacts to a new connection. */
 public enum Reachability {
-  /** It takes the connection: a process listens at the address. */
+  /** It accepts the connection: a process listens at the address. */
   ACCEPTS,
   /**
-   * It takes the connection and closes it at once, without a byte: as a proxy does before a process
-   * that is gone, and a server that has all connections it takes.
+   * It accepts the connection and closes it at once without sending anything, as does a proxy whose
+   * target process has ended, or a server at its limit of connections.
    */
   CLOSES,
-  /** It refuses the connection at once: the machine answers, and no process listens. */
+  /** It refuses the connection at once: the host is reachable, and no process listens. */
   REFUSES,
-  /** No answer came, or the connection failed in another way; it tells nothing of the process. */
+  /** The attempt timed out or failed in another way, so nothing is known about the process. */
   UNKNOWN
 }
--- a/http/src/main/java/org/lockdale/http/RequestAssembler.java
+++ b/http/src/main/java/org/lockdale/http/RequestAssembler.java
@@ -26,59 +26,63 @@
 import org.tinylog.Logger;
 
 /**
- * Joins the parts of a request within the server's limits and hands whole requests to the handler,
- * one at a time for each connection, so that replies can't cross.
+ * Assembles the parts of each request, enforces the server's limits, and passes complete requests
+ * to the handler. Requests of one connection are handled one at a time, so that their replies are
+ * sent in order.
  */
 final class RequestAssembler extends SimpleChannelInboundHandler<HttpObject> {
 
-  /** Requests a client may send ahead of the reply to the first one. */
+  /** Maximum number of complete requests that wait on a connection for the active one. */
   private static final int MAX_PIPELINED_REQUESTS = 8;
 
   private final HttpServerSettings settings;
   private final HttpHandler handler;
-  private final Deque<HttpExchange> waiting = new ArrayDeque<>();
+  private final Deque<HttpExchange> pipelined = new ArrayDeque<>();
   private @Nullable HttpExchange active;
   private @Nullable HttpRequest head;
   private ByteBuf body = Unpooled.EMPTY_BUFFER;
   private @Nullable ScheduledFuture<?> requestTimeout;
   private long receivedNanos;
-  private boolean refused;
+  private boolean rejected;
 
   RequestAssembler(HttpServerSettings settings, HttpHandler handler) {
     this.settings = settings;
     this.handler = handler;
   }
 
-  /** Returns whether no request is open or under way; called on the connection's event loop. */
+  /**
+   * Returns whether no request is being received, handled or waiting. Must be called on the
+   * connection's event loop.
+   */
   boolean isIdle() {
-    return active == null && head == null && waiting.isEmpty();
+    return active == null && head == null && pipelined.isEmpty();
   }
 
   @Override
   protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-    if (refused) {
+    if (rejected) {
       return;
     }
     if (part.decoderResult().isFailure()) {
-      refuse(context, errorOf(part.decoderResult()));
+      reject(context, errorOf(part.decoderResult()));
       return;
     }
     if (part instanceof HttpRequest request) {
-      begin(context, request);
+      startRequest(context, request);
     }
-    if (part instanceof HttpContent content && !refused) {
+    if (part instanceof HttpContent content && !rejected) {
       append(context, content.content());
-      if (part instanceof LastHttpContent && !refused) {
+      if (part instanceof LastHttpContent && !rejected) {
         complete(context);
       }
     }
   }
 
-  private void begin(ChannelHandlerContext context, HttpRequest request) {
+  private void startRequest(ChannelHandlerContext context, HttpRequest request) {
     head = request;
     receivedNanos = System.nanoTime();
     if (HttpUtil.getContentLength(request, 0L) > settings.maxBodyBytes()) {
-      refuse(context, HttpProtocolError.BODY_TOO_LARGE);
+      reject(context, HttpProtocolError.BODY_TOO_LARGE);
       return;
     }
     if (HttpUtil.is100ContinueExpected(request)) {
@@ -89,7 +93,7 @@
         context
             .executor()
             .schedule(
-                () -> refuse(context, HttpProtocolError.REQUEST_TIMEOUT),
+                () -> reject(context, HttpProtocolError.REQUEST_TIMEOUT),
                 settings.requestTimeout().toMillis(),
                 TimeUnit.MILLISECONDS);
   }
@@ -99,7 +103,7 @@
       return;
     }
     if (body.readableBytes() + content.readableBytes() > settings.maxBodyBytes()) {
-      refuse(context, HttpProtocolError.BODY_TOO_LARGE);
+      reject(context, HttpProtocolError.BODY_TOO_LARGE);
       return;
     }
     if (body == Unpooled.EMPTY_BUFFER) {
@@ -124,16 +128,17 @@
     if (active == null) {
       active = exchange;
       context.executor().execute(() -> dispatchIfOpen(context, exchange));
-    } else if (waiting.size() < MAX_PIPELINED_REQUESTS) {
-      waiting.add(exchange);
+    } else if (pipelined.size() < MAX_PIPELINED_REQUESTS) {
+      pipelined.add(exchange);
     } else {
       context.close();
     }
   }
 
   /**
-   * A caller's close is read right after its last request. The request waits until the socket was
-   * read empty, so that it isn't served for a caller that has already left.
+   * Dispatches a request unless its caller has closed the connection. A close is read right after
+   * the caller's last request, so this is run only after the socket has been read until empty: a
+   * request whose caller has already disconnected is not handled.
    */
   private void dispatchIfOpen(ChannelHandlerContext context, HttpExchange exchange) {
     if (context.channel().isActive()) {
@@ -157,14 +162,14 @@
       return;
     }
     active = null;
-    HttpExchange next = waiting.poll();
+    HttpExchange next = pipelined.poll();
     if (next != null && context.channel().isActive()) {
       dispatch(next);
     }
   }
 
-  private void refuse(ChannelHandlerContext context, HttpProtocolError error) {
-    refused = true;
+  private void reject(ChannelHandlerContext context, HttpProtocolError error) {
+    rejected = true;
     cancelTimeout();
     releaseBody();
     if (active != null) {
@@ -206,7 +211,7 @@
   public void channelInactive(ChannelHandlerContext context) {
     cancelTimeout();
     releaseBody();
-    waiting.clear();
+    pipelined.clear();
     if (active != null) {
       active.connectionClosed();
     }
--- a/http/src/main/java/org/lockdale/http/ResponseReader.java
+++ b/http/src/main/java/org/lockdale/http/ResponseReader.java
@@ -12,7 +12,7 @@
 import java.net.InetSocketAddress;
 import org.jspecify.annotations.Nullable;
 
-/** Hands the parts of a reply to the listener of the one call that holds the connection. */
+/** Passes the parts of a reply to the listener of the call that occupies the connection. */
 final class ResponseReader extends SimpleChannelInboundHandler<HttpObject> {
 
   private final ConnectionPool pool;
@@ -21,8 +21,13 @@
   private @Nullable HttpResponseListener listener;
   private boolean headReceived;
   private boolean keepAlive;
+
+  /** Whether the parts of a reply that doesn't belong to the call are being discarded. */
   private boolean skipping;
+
+  /** Whether a surplus reply was received, after which the connection is not reused. */
   private boolean surplusSeen;
+
   private long idleLimitNanos;
 
   ResponseReader(ConnectionPool pool, InetSocketAddress address) {
@@ -30,7 +35,8 @@
     this.address = address;
   }
 
-  void begin(HttpCall newCall, HttpResponseListener newListener) {
+  /** Starts to read the reply to a call. */
+  void start(HttpCall newCall, HttpResponseListener newListener) {
     call = newCall;
     listener = newListener;
     headReceived = false;
@@ -50,7 +56,7 @@
       return;
     }
     if (part instanceof HttpResponse response) {
-      begin(response, receiver);
+      start(response, receiver);
     }
     if (skipping) {
       skipping = !(part instanceof LastHttpContent);
@@ -59,13 +65,13 @@
     if (part instanceof HttpContent content && content.content().isReadable()) {
       receiver.onContent(content.content());
     }
-    if (part instanceof LastHttpContent && current.end()) {
+    if (part instanceof LastHttpContent && current.tryEnd()) {
       release(context);
       receiver.onEnd();
     }
   }
 
-  private void begin(HttpResponse response, HttpResponseListener receiver) {
+  private void start(HttpResponse response, HttpResponseListener receiver) {
     boolean informational = response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
     if (informational || !receiver.accepts(response.status().code(), response.headers())) {
       skipping = true;
@@ -94,7 +100,7 @@
     call = null;
     listener = null;
     context.close();
-    if (current != null && receiver != null && current.end()) {
+    if (current != null && receiver != null && current.tryEnd()) {
       HttpCallException.Stage stage =
           headReceived ? HttpCallException.Stage.BROKEN_REPLY : HttpCallException.Stage.NO_REPLY;
       receiver.onFailure(new HttpCallException(stage, closedByPeer, address + ": " + reason));
@@ -104,7 +110,7 @@
   @Override
   public void channelInactive(ChannelHandlerContext context) {
     pool.discard(context.channel(), address);
-    fail(context, true, "the connection closed before the reply was whole");
+    fail(context, true, "the connection closed before the reply was complete");
   }
 
   @Override
--- a/http/src/main/java/org/lockdale/http/ServerSentEventDecoder.java
+++ b/http/src/main/java/org/lockdale/http/ServerSentEventDecoder.java
@@ -5,8 +5,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Splits a stream of server-sent events into events without copying or re-encoding them. Release it
- * with {@link #close}. Not safe for use by several threads.
+ * Splits a stream of server-sent events into events without re-encoding them. Bytes are copied only
+ * where an event spans several parts; {@link #close} releases the copies. Not thread-safe.
  */
 public final class ServerSentEventDecoder implements AutoCloseable {
 
@@ -17,15 +17,15 @@
      * Receives one event.
      *
      * @param id value of the event's id line, or {@link #NO_ID}
-     * @param event the whole event with its closing blank line; only valid during the call
+     * @param event the complete event with its terminating blank line; only valid during the call
      */
     void onEvent(long id, ByteBuf event);
   }
 
-  /** Id of an event without an id line. */
+  /** Id of an event without an id line or whose id is not a number. */
   public static final long NO_ID = -1;
 
-  /** The data line that ends a stream of OpenAI's interface. */
+  /** The event that ends a stream of the OpenAI API. */
   public static final String DONE = "data: [DONE]\n\n";
 
   private static final byte[] ID_PREFIX = "id:".getBytes(StandardCharsets.US_ASCII);
@@ -37,32 +37,32 @@
   private ByteBuf pending = Unpooled.EMPTY_BUFFER;
   private int scanned;
 
-  /** Creates a decoder that hands events to a listener. */
+  /** Creates a decoder that passes events to a listener. */
   public ServerSentEventDecoder(EventListener listener) {
     this.listener = listener;
   }
 
   /**
-   * Takes in a part of the stream and hands on the events it completes.
+   * Decodes a part of the stream and passes the events that it completes to the listener.
    *
-   * @throws IllegalArgumentException if an event is over the size limit
+   * @throws IllegalArgumentException if an event exceeds 1 MiB before it is complete
    */
   public void decode(ByteBuf part) {
     if (!pending.isReadable()) {
       scanned = 0;
       decodeFrom(part);
-      keep(part);
+      retain(part);
     } else {
       pending.writeBytes(part);
       decodeFrom(pending);
       pending.discardReadBytes();
     }
     if (pending.readableBytes() > MAX_EVENT_BYTES) {
-      throw new IllegalArgumentException("an event of the engine's stream is over the limit");
+      throw new IllegalArgumentException("an event of the engine's stream exceeds the size limit");
     }
   }
 
-  private void keep(ByteBuf rest) {
+  private void retain(ByteBuf rest) {
     if (!rest.isReadable()) {
       return;
     }
@@ -89,7 +89,7 @@
     while (true) {
       int newline = buffer.indexOf(from, buffer.writerIndex(), (byte) '\n');
       if (newline < 0 || newline + 1 >= buffer.writerIndex()) {
-        // The next search starts at this newline again, since its neighbour is still to come.
+        // The next search starts at this newline again, as the byte after it is not yet there.
         int resume = newline < 0 ? buffer.writerIndex() : newline;
         scanned = resume - buffer.readerIndex();
         return -1;
@@ -101,7 +101,7 @@
     }
   }
 
-  /** Returns the value of the first line that begins with the id field. */
+  /** Returns the numeric value of the first id line, or {@link #NO_ID}. */
   private static long idOf(ByteBuf event) {
     int line = event.readerIndex();
     while (line < event.writerIndex()) {
@@ -142,7 +142,7 @@
     return number;
   }
 
-  /** Returns whether an event is the one that ends a stream. */
+  /** Returns whether an event equals {@link #DONE}. */
   public static boolean isDone(ByteBuf event) {
     if (event.readableBytes() != DONE_BYTES.length) {
       return false;
@@ -155,19 +155,21 @@
     return true;
   }
 
-  /** Returns the text of the event's data line without its name. */
+  /** Returns the event's text after its first {@code data:} field name, or an empty string. */
   public static String dataOf(ByteBuf event) {
     String text = event.toString(StandardCharsets.UTF_8);
     int start = text.indexOf("data: ");
     return start < 0 ? "" : text.substring(start + "data: ".length()).trim();
   }
 
-  /** Returns the bytes after the last whole event; they stay until {@link #close}. */
+  /**
+   * Returns the bytes after the last complete event; valid until {@link #decode} or {@link #close}.
+   */
   public ByteBuf remainder() {
     return pending;
   }
 
-  /** Releases what is held of an unfinished event. */
+  /** Releases the buffer of an incomplete event. */
   @Override
   public void close() {
     pending.release();
--- a/http/src/test/java/org/lockdale/http/EarlyListenerTest.java
+++ b/http/src/test/java/org/lockdale/http/EarlyListenerTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A socket that listens before its server starts. */
+/** Tests sockets that listen before their servers start. */
 public final class EarlyListenerTest {
 
   private static final int TIMEOUT_MILLIS = 10_000;
@@ -67,7 +67,7 @@
   }
 
   @Test
-  public void whatCameBeforeTheServerIsServedByIt() throws IOException {
+  public void connectionsOpenedBeforeTheServerAreServed() throws IOException {
     EarlyListener listener = EarlyListener.open(LoopbackPorts.free());
     try (Socket early = new Socket(listener.address().getAddress(), listener.address().getPort())) {
       send(early);
@@ -83,7 +83,7 @@
   }
 
   @Test
-  public void anAddressThatIsTakenIsTold() throws IOException {
+  public void openingAnAddressInUseFails() throws IOException {
     InetSocketAddress address = LoopbackPorts.free();
     try (EarlyListener first = EarlyListener.open(address)) {
       assertThrows(HttpBindException.class, () -> EarlyListener.open(first.address()));
--- a/http/src/test/java/org/lockdale/http/HttpClientTest.java
+++ b/http/src/test/java/org/lockdale/http/HttpClientTest.java
@@ -28,7 +28,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Calls over pooled connections. */
+/** Tests calls over pooled connections, their limits and probes. */
 public final class HttpClientTest {
 
   private static final int TIMEOUT_SECONDS = 10;
@@ -88,9 +88,9 @@
   }
 
   /**
-   * A caller on another thread may take a connection from the pool that its event loop is about to
-   * close. What is written to it then fails, or, where the event loop has told of the closing
-   * already, raises no event any more, so that the call would never end.
+   * A caller on another thread may acquire a pooled connection that its event loop is about to
+   * close. A write to it then fails, or, if the event loop has already reported the close, raises
+   * no further event, so that the call would never end.
    */
   @Test
   public void aConnectionThatClosesBeforeItsCallIsWrittenIsReplaced() throws Exception {
@@ -100,21 +100,21 @@
     HttpClient client = new HttpClient(group, pool);
     Channel channel = pool.acquire(eventLoop, address).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     pool.release(channel, address);
-    CountDownLatch held = new CountDownLatch(1);
-    eventLoop.execute(() -> awaitUninterruptibly(held));
+    CountDownLatch unblock = new CountDownLatch(1);
+    eventLoop.execute(() -> awaitUninterruptibly(unblock));
     channel.close();
 
     CompletableFuture<Integer> status = new CompletableFuture<>();
     HttpRequestMessage request = HttpRequestMessage.json(HttpMethod.GET, "/", new byte[0]);
     client.send(eventLoop, address, request, statusInto(status));
-    held.countDown();
+    unblock.countDown();
 
     assertEquals((int) status.get(TIMEOUT_SECONDS, TimeUnit.SECONDS), 200);
   }
 
   /**
-   * Open connections to a peer may all go silent for good at once, while new ones work. Each pooled
-   * one cost a call its whole time, one after the other.
+   * All open connections to a peer may become unresponsive at once while new ones work. If they
+   * stayed in the pool, each of them would make one call time out.
    */
   @Test
   public void afterACallWithoutAnAnswerNoOlderConnectionIsUsed() throws Exception {
@@ -125,11 +125,11 @@
         calls.add(get(client, peer.address()));
       }
       peer.awaitConnections(3);
-      peer.answerAll();
+      peer.startResponding();
       for (CompletableFuture<HttpReply> call : calls) {
         assertEquals(call.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).status(), 200);
       }
-      peer.fallSilent();
+      peer.silenceOpenConnections();
       expectThrows(ExecutionException.class, () -> get(client, peer.address()).get());
       assertEquals(get(client, peer.address()).get().status(), 200, "on a new connection");
     }
@@ -147,7 +147,7 @@
     }
   }
 
-  /** As a proxy does before a process that is gone. */
+  /** A proxy whose target process has ended closes connections at once. */
   @Test
   public void aProbeTellsThatConnectionsAreClosedAtOnce() throws Exception {
     try (ServerSocket proxy = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
@@ -157,7 +157,7 @@
                 try {
                   proxy.accept().close();
                 } catch (IOException ended) {
-                  // The test is over.
+                  // The listener was closed at the end of the test.
                 }
               });
       closer.start();
@@ -197,32 +197,35 @@
     HttpClient client = new HttpClient(group);
     CompletableFuture<Integer> first = sendAtMostOne(client, loop);
     CompletableFuture<Integer> second = sendAtMostOne(client, loop);
-    ExecutionException refused =
+    ExecutionException rejected =
         expectThrows(ExecutionException.class, () -> second.get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
-    assertTrue(((HttpCallException) refused.getCause()).isAtConnectionLimit());
+    assertTrue(((HttpCallException) rejected.getCause()).isAtConnectionLimit());
     assertEquals(first.get(TIMEOUT_SECONDS, TimeUnit.SECONDS), Integer.valueOf(200));
   }
 
-  /** A connection leaves its place a moment after its reply, on its own event loop. */
-  private int sendOnceThereIsRoom(HttpClient client, EventLoop loop) throws Exception {
+  /**
+   * Retries while the limit is reached, since a connection becomes idle or frees its slot only a
+   * moment after its reply, on its own event loop.
+   */
+  private int sendOnceASlotIsFree(HttpClient client, EventLoop loop) throws Exception {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
     while (true) {
       try {
         return sendAtMostOne(client, loop).get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-      } catch (ExecutionException refused) {
-        boolean full = ((HttpCallException) refused.getCause()).isAtConnectionLimit();
+      } catch (ExecutionException rejected) {
+        boolean full = ((HttpCallException) rejected.getCause()).isAtConnectionLimit();
         if (!full || System.nanoTime() > end) {
-          throw refused;
+          throw rejected;
         }
       }
     }
   }
 
   @Test
-  public void connectionsThatCloseOrRestOnAnotherThreadMakeRoom() throws Exception {
+  public void closedAndIdleConnectionsFreeTheirSlots() throws Exception {
     HttpClient client = new HttpClient(group);
     for (int call = 0; call < 20; call++) {
-      assertEquals(sendOnceThereIsRoom(client, group.next()), 200);
+      assertEquals(sendOnceASlotIsFree(client, group.next()), 200);
       if (call % 3 == 0) {
         client.forget(server.address());
       }
--- a/http/src/test/java/org/lockdale/http/HttpServerTest.java
+++ b/http/src/test/java/org/lockdale/http/HttpServerTest.java
@@ -20,12 +20,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Which requests a server hands to its handler. */
+/** Tests which requests a server passes to its handler. */
 public final class HttpServerTest {
 
   private static final int TIMEOUT_MILLIS = 10_000;
 
-  private CountDownLatch mayGoOn;
+  private CountDownLatch unblock;
   private CountDownLatch blocked;
   private List<String> handled;
   private EventLoopGroup group;
@@ -33,29 +33,31 @@
 
   @BeforeMethod
   public void start() {
-    mayGoOn = new CountDownLatch(1);
+    unblock = new CountDownLatch(1);
     blocked = new CountDownLatch(1);
     handled = new CopyOnWriteArrayList<>();
     group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    server = HttpServer.start(HttpServerSettings.forAddress(anyPort), group, new Noting());
+    server =
+        HttpServer.start(HttpServerSettings.forAddress(anyPort), group, new RecordingHandler());
   }
 
   @AfterMethod(alwaysRun = true)
   public void stop() {
-    mayGoOn.countDown();
+    unblock.countDown();
     server.close();
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private final class Noting implements HttpHandler {
+  /** Records the paths of requests, and blocks its event loop on {@code /block}. */
+  private final class RecordingHandler implements HttpHandler {
 
     @Override
     public void handle(HttpExchange exchange) {
       handled.add(exchange.path());
       if (exchange.path().equals("/block")) {
         blocked.countDown();
-        await(mayGoOn);
+        await(unblock);
       }
       exchange.reply(HttpReply.text(200, "done"));
     }
@@ -83,8 +85,8 @@
   }
 
   /**
-   * A busy process reads requests late. Callers that got no answer in time had closed by then, and
-   * their requests were sent to servers all the same, since a close is read after the request.
+   * A busy process reads requests late, when their callers may have timed out and closed the
+   * connection. Because a close is read after the request, such requests could still be handled.
    */
   @Test
   public void aRequestWhoseCallerHasClosedBeforeItWasReadIsNotHandled() throws IOException {
@@ -94,7 +96,7 @@
         send("/left").close();
       }
       try (Socket staying = send("/stays")) {
-        mayGoOn.countDown();
+        unblock.countDown();
         assertEquals(staying.getInputStream().read(), 'H');
       }
       assertEquals(blocking.getInputStream().read(), 'H');
@@ -103,30 +105,30 @@
   }
 
   /**
-   * A call to a node that was killed waited for an answer for good: its connection had been
-   * accepted but was set up only after the server had closed its connections, so it stayed open
-   * with nobody to serve it.
+   * A connection that was accepted but is set up only after the server has closed its connections
+   * could stay open without being served, so that a call to a killed node would never end.
    */
   @Test(timeOut = 60_000)
   public void aConnectionAcceptedWhileTheServerClosesIsClosed() throws Exception {
     server.close();
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-    // Connections take turns on two event loops; the listener shares the second one's.
+    // Connections alternate between two event loops; the listener runs on that of the second.
     group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-    server = HttpServer.start(HttpServerSettings.forAddress(anyPort), group, new Noting());
+    server =
+        HttpServer.start(HttpServerSettings.forAddress(anyPort), group, new RecordingHandler());
     try (Socket blocking = send("/block")) {
       await(blocked);
       try (Socket served = send("/served");
           Socket waiting = send("/waiting");
           Socket served2 = send("/served2")) {
         assertEquals(served.getInputStream().read(), 'H');
-        // Connections are accepted in order, so the one before this has been accepted as well.
+        // Connections are accepted in order, so the one before this one has been accepted as well.
         assertEquals(served2.getInputStream().read(), 'H');
         CompletableFuture<Void> closed = CompletableFuture.runAsync(server::close);
         served.getInputStream().readAllBytes();
         served2.getInputStream().readAllBytes();
-        mayGoOn.countDown();
+        unblock.countDown();
         closed.join();
         assertEquals(waiting.getInputStream().readAllBytes().length, 0);
       }
--- a/http/src/test/java/org/lockdale/http/LoopbackPortsTest.java
+++ b/http/src/test/java/org/lockdale/http/LoopbackPortsTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** Ports for processes that listen later can't be handed out to others meanwhile. */
+/** Tests that chosen ports are free and are not assigned to anyone else before they are bound. */
 public final class LoopbackPortsTest {
 
   private static final int TRIES = 200;
@@ -25,14 +25,14 @@
           DatagramSocket datagrams = new DatagramSocket(address);
           ServerSocket handedOut = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
         assertTrue(stream.isBound() && datagrams.isBound());
-        assertTrue(address.getPort() < handedOut.getLocalPort(), "below what is handed out");
+        assertTrue(address.getPort() < handedOut.getLocalPort(), "below the ephemeral range");
       }
     }
   }
 
   /**
-   * A test that chose the addresses of three nodes before it started them failed once, as one could
-   * not listen: a port that is chosen and not yet bound was chosen again.
+   * A port that is chosen but not yet bound looks free. If it were chosen again, one of two
+   * processes that are started on it could not listen.
    */
   @Test
   public void aPortIsGivenOnce() {
--- a/http/src/test/java/org/lockdale/http/ParserFuzzTest.java
+++ b/http/src/test/java/org/lockdale/http/ParserFuzzTest.java
@@ -19,7 +19,9 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** Bytes of any kind end neither a server nor a reader of streams. Fixed seeds. */
+/**
+ * Tests that malformed input crashes neither the server nor the event decoder. Uses fixed seeds.
+ */
 public final class ParserFuzzTest {
 
   private static final int ROUNDS = 400;
@@ -45,7 +47,7 @@
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     HttpServer server =
-        HttpServer.start(HttpServerSettings.forAddress(anyPort), group, new Greeting());
+        HttpServer.start(HttpServerSettings.forAddress(anyPort), group, new GreetingHandler());
     try {
       for (int seed = 0; seed < ROUNDS; seed++) {
         send(server.address(), mutated(REQUEST, new Random(seed)));
@@ -72,14 +74,14 @@
       socket.shutdownOutput();
       socket.setSoTimeout(TIMEOUT_SECONDS * 1_000);
       while (socket.getInputStream().read() >= 0) {
-        // All answers are read, until the server closes.
+        // Discards the replies until the server closes the connection.
       }
     } catch (IOException closed) {
-      // A server may close or reset a connection whose bytes are no request.
+      // A server may close or reset a connection on which it receives an invalid request.
     }
   }
 
-  private static final class Greeting implements HttpHandler {
+  private static final class GreetingHandler implements HttpHandler {
     @Override
     public void handle(HttpExchange exchange) {
       exchange.reply(HttpReply.text(200, "hello"));
@@ -92,8 +94,8 @@
   }
 
   @Test
-  public void aReaderOfStreamsRefusesByOneKindOfFailure() {
-    int refused = 0;
+  public void anEventDecoderFailsOnlyWithIllegalArgumentException() {
+    int rejected = 0;
     for (int seed = 0; seed < ROUNDS * 10; seed++) {
       Random random = new Random(seed);
       ByteBuf bytes = Unpooled.wrappedBuffer(mutated(EVENTS, random));
@@ -104,11 +106,11 @@
           decoder.decode(bytes.readSlice(length));
         }
       } catch (IllegalArgumentException malformed) {
-        refused++;
+        rejected++;
       } finally {
         decoder.close();
       }
     }
-    assertTrue(refused < ROUNDS * 10, "most can be read");
+    assertTrue(rejected < ROUNDS * 10, "all inputs were rejected");
   }
 }
--- a/http/src/test/java/org/lockdale/http/ServerSentEventDecoderTest.java
+++ b/http/src/test/java/org/lockdale/http/ServerSentEventDecoderTest.java
@@ -12,7 +12,7 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** Events are found whatever parts the network cuts a stream into. */
+/** Tests that events are decoded however the stream is split into parts. */
 public final class ServerSentEventDecoderTest {
 
   private static final int SEEDS = 300;
@@ -20,7 +20,7 @@
       "id: 0\ndata: {\"a\":1}\n\nid: 12\ndata: x\n\ndata: no id\n\nid: x\ndata: y\n\n"
           + ServerSentEventDecoder.DONE;
 
-  private static List<String> decode(String stream, Random cuts) {
+  private static List<String> decode(String stream, Random random) {
     List<String> events = new ArrayList<>();
     try (ServerSentEventDecoder decoder =
         new ServerSentEventDecoder(
@@ -28,7 +28,7 @@
       byte[] bytes = stream.getBytes(StandardCharsets.UTF_8);
       int from = 0;
       while (from < bytes.length) {
-        int length = Math.min(bytes.length - from, 1 + cuts.nextInt(9));
+        int length = Math.min(bytes.length - from, 1 + random.nextInt(9));
         ByteBuf part = Unpooled.copiedBuffer(bytes, from, length);
         decoder.decode(part);
         part.release();
@@ -38,7 +38,7 @@
     return events;
   }
 
-  /** The same events come out for every way to cut the stream. */
+  /** The result does not depend on where the stream is split. */
   @Test
   public void anyCutGivesTheSameEvents() {
     List<String> expected =
@@ -53,9 +53,9 @@
     }
   }
 
-  /** Only the end marker is the end marker. */
+  /** Only {@link ServerSentEventDecoder#DONE} is the end marker. */
   @Test
-  public void theEndMarkerIsKnown() {
+  public void theEndMarkerIsRecognized() {
     ByteBuf done = Unpooled.copiedBuffer(ServerSentEventDecoder.DONE, StandardCharsets.UTF_8);
     ByteBuf other = Unpooled.copiedBuffer("data: [DONE!\n\n", StandardCharsets.UTF_8);
     assertTrue(ServerSentEventDecoder.isDone(done));
--- a/http/src/test/java/org/lockdale/http/SilentPeer.java
+++ b/http/src/test/java/org/lockdale/http/SilentPeer.java
@@ -10,16 +10,16 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** A server whose open connections can fall silent while new ones are answered. */
+/** A server that can stop replying on its open connections while it replies on new ones. */
 final class SilentPeer implements Closeable {
 
-  private static final String ANSWER = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+  private static final String RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
   private final ServerSocket listener;
   private final ExecutorService threads = Executors.newCachedThreadPool();
   private int connections;
   private int silentUpTo;
-  private boolean answering;
+  private boolean responding;
 
   SilentPeer() throws IOException {
     listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
@@ -34,7 +34,7 @@
     while (!listener.isClosed()) {
       try {
         Socket connection = listener.accept();
-        int number = opened();
+        int number = countConnection();
         threads.execute(() -> serve(connection, number));
       } catch (IOException closed) {
         return;
@@ -42,7 +42,8 @@
     }
   }
 
-  private synchronized int opened() {
+  /** Counts a new connection and returns its number, starting at 1. */
+  private synchronized int countConnection() {
     notifyAll();
     return ++connections;
   }
@@ -54,17 +55,18 @@
           next >= 0;
           next = connection.getInputStream().read()) {
         request.append((char) next);
-        if (request.toString().endsWith("\r\n\r\n") && mayAnswer(number)) {
-          connection.getOutputStream().write(ANSWER.getBytes(StandardCharsets.US_ASCII));
+        if (request.toString().endsWith("\r\n\r\n") && awaitMayRespond(number)) {
+          connection.getOutputStream().write(RESPONSE.getBytes(StandardCharsets.US_ASCII));
         }
       }
     } catch (IOException gone) {
-      // The client gave the connection up, which is what tests wait for.
+      // The client closed the connection, as tests expect.
     }
   }
 
-  private synchronized boolean mayAnswer(int number) {
-    while (!answering) {
+  /** Waits for {@link #startResponding}; false if the connection is to stay silent. */
+  private synchronized boolean awaitMayRespond(int number) {
+    while (!responding) {
       try {
         wait();
       } catch (InterruptedException stopped) {
@@ -75,21 +77,21 @@
     return number > silentUpTo;
   }
 
-  /** Waits until a number of connections were opened. */
+  /** Waits until at least a number of connections have been opened. */
   synchronized void awaitConnections(int number) throws InterruptedException {
     while (connections < number) {
       wait();
     }
   }
 
-  /** Answers what was asked and what will be. */
-  synchronized void answerAll() {
-    answering = true;
+  /** Replies to the requests that were received and to later ones. */
+  synchronized void startResponding() {
+    responding = true;
     notifyAll();
   }
 
-  /** Answers nothing more on the connections that are open now. */
-  synchronized void fallSilent() {
+  /** Stops replying on the connections that are open now. */
+  synchronized void silenceOpenConnections() {
     silentUpTo = connections;
   }
 
