--- a/openai/src/main/java/org/lockdale/openai/CompletionJson.java
+++ b/openai/src/main/java/org/lockdale/openai/CompletionJson.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.UncheckedIOException;
 
-/** Renders answers in the form of OpenAI's interface, for stand-in engines. */
+/** Renders completions as JSON of the OpenAI API, for stand-in engines. */
 public final class CompletionJson {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -15,9 +15,11 @@
   private final String model;
 
   /**
-   * Creates a renderer for the answer of one request.
+   * Creates a renderer for the response to one request.
    *
+   * @param kind endpoint that received the request
    * @param id id of the completion
+   * @param model model that the response names
    */
   public CompletionJson(CompletionRequest.Kind kind, String id, String model) {
     this.kind = kind;
@@ -25,7 +27,7 @@
     this.model = model;
   }
 
-  /** Returns a chunk with a piece of text. */
+  /** Returns a chunk of a streamed completion with a piece of text. */
   public byte[] chunk(String text) {
     ObjectNode root =
         head(kind == CompletionRequest.Kind.CHAT ? "chat.completion.chunk" : "text_completion");
@@ -39,7 +41,7 @@
     return write(root);
   }
 
-  /** Returns the last chunk, with the usage. */
+  /** Returns the last chunk of a streamed completion, with the token usage. */
   public byte[] lastChunk(int promptTokens, int cachedTokens, int completionTokens) {
     ObjectNode root =
         head(kind == CompletionRequest.Kind.CHAT ? "chat.completion.chunk" : "text_completion");
@@ -54,7 +56,7 @@
     return write(root);
   }
 
-  /** Returns a whole answer. */
+  /** Returns a complete, non-streamed response with the token usage. */
   public byte[] whole(String text, int promptTokens, int cachedTokens, int completionTokens) {
     ObjectNode root =
         head(kind == CompletionRequest.Kind.CHAT ? "chat.completion" : "text_completion");
--- a/openai/src/main/java/org/lockdale/openai/CompletionRequest.java
+++ b/openai/src/main/java/org/lockdale/openai/CompletionRequest.java
@@ -12,15 +12,15 @@
 import org.lockdale.coordination.placement.PromptText;
 
 /**
- * The parts of a completion request that decide where and how it runs. The body itself is passed on
- * unchanged, so fields that are not listed here reach the engine all the same.
+ * The fields of a completion request that determine where and how it runs. The body itself is
+ * forwarded unchanged, so fields that are not listed here reach the engine as well.
  *
- * @param kind endpoint it came to
- * @param model model or adapter asked for
- * @param prompt joined prompt text, UTF-8
- * @param maxTokens most tokens of the answer
- * @param stream whether the answer is to be streamed
- * @param metadata labels given by the caller
+ * @param kind endpoint that received it
+ * @param model requested model or adapter
+ * @param prompt joined prompt text, in UTF-8
+ * @param maxTokens maximum number of completion tokens
+ * @param stream whether the response is to be streamed
+ * @param metadata labels that the caller attached; empty if there are none
  */
 public record CompletionRequest(
     Kind kind,
@@ -30,11 +30,11 @@
     boolean stream,
     Map<String, String> metadata) {
 
-  /** Endpoints that take completions. */
+  /** Completion endpoints. */
   public enum Kind {
-    /** Messages with roles. */
+    /** Completes a conversation of messages with roles. */
     CHAT("/v1/chat/completions"),
-    /** Plain text. */
+    /** Completes a plain text. */
     TEXT("/v1/completions");
 
     private final String path;
@@ -49,11 +49,11 @@
     }
   }
 
-  /** Length of an answer where the request sets none. */
+  /** Maximum number of completion tokens if the request sets none. */
   public static final int DEFAULT_MAX_TOKENS = 256;
 
   private static final int MAX_NESTING_DEPTH = 32;
-  private static final int MAX_ANSWER_TOKENS = 131_072;
+  private static final int MAX_COMPLETION_TOKENS = 131_072;
   private static final int MAX_METADATA_ENTRIES = 16;
 
   private static final ObjectMapper MAPPER =
@@ -64,9 +64,12 @@
               .build());
 
   /**
-   * Parses a body.
+   * Parses a request body.
    *
-   * @throws InvalidRequestException if the body is not valid JSON or lacks what is needed
+   * @param kind endpoint that received the request
+   * @param body request body, JSON
+   * @throws InvalidRequestException if the body is not valid JSON, lacks a required field or has an
+   *     invalid one
    */
   public static CompletionRequest parse(Kind kind, byte[] body) {
     JsonNode root = readTree(body);
@@ -154,12 +157,12 @@
       return DEFAULT_MAX_TOKENS;
     }
     boolean valid =
-        value.isIntegralNumber() && value.asLong() >= 1 && value.asLong() <= MAX_ANSWER_TOKENS;
+        value.isIntegralNumber() && value.asLong() >= 1 && value.asLong() <= MAX_COMPLETION_TOKENS;
     if (!valid) {
       throw invalid(
           "invalid_max_tokens",
           "max_tokens",
-          "Give 'max_tokens' as a whole number from 1 to " + MAX_ANSWER_TOKENS + ".");
+          "Give 'max_tokens' as a whole number from 1 to " + MAX_COMPLETION_TOKENS + ".");
     }
     return value.asInt();
   }
--- a/openai/src/main/java/org/lockdale/openai/ErrorBody.java
+++ b/openai/src/main/java/org/lockdale/openai/ErrorBody.java
@@ -7,7 +7,7 @@
 import java.io.UncheckedIOException;
 
 /**
- * The usual error envelope, with the outcome added.
+ * The error envelope of the OpenAI API, extended by the outcome of the request.
  *
  * @param error the error
  */
@@ -18,12 +18,12 @@
   /**
    * One error.
    *
-   * @param message what is wrong and how to mend it
-   * @param type group of errors, as in OpenAI's interface
-   * @param parameter field at fault, or an empty string
-   * @param code kind of error, for programs
-   * @param outcome whether the request ran
-   * @param retryAfterSeconds when to come back, or 0 where coming back does not help
+   * @param message what is wrong and how to correct it
+   * @param type category of the error, as in the OpenAI API
+   * @param parameter request field that caused the error, or an empty string
+   * @param code machine-readable error code
+   * @param outcome wire name of the {@link Outcome}: whether the request ran
+   * @param retryAfterSeconds seconds after which to retry, or 0 if a retry does not help
    */
   @JsonInclude(JsonInclude.Include.NON_DEFAULT)
   public record Detail(
--- a/openai/src/main/java/org/lockdale/openai/InvalidRequestException.java
+++ b/openai/src/main/java/org/lockdale/openai/InvalidRequestException.java
@@ -1,6 +1,6 @@
 package org.lockdale.openai;
 
-/** A request body that can't be served. */
+/** Thrown when a request body is invalid. */
 public final class InvalidRequestException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
@@ -14,12 +14,12 @@
     this.parameter = parameter;
   }
 
-  /** Returns a code for programs. */
+  /** Returns a machine-readable error code. */
   public String code() {
     return code;
   }
 
-  /** Returns the field at fault, or an empty string. */
+  /** Returns the field that caused the error, or an empty string. */
   public String parameter() {
     return parameter;
   }
--- a/openai/src/main/java/org/lockdale/openai/package-info.java
+++ b/openai/src/main/java/org/lockdale/openai/package-info.java
@@ -1,4 +1,4 @@
-/** The OpenAI-compatible interface as typed messages, shared by the daemon and the stand-ins. */
+/** Types of the OpenAI-compatible API, shared by the daemon and the stand-ins. */
 @NullMarked
 package org.lockdale.openai;
 
