--- a/http/src/main/java/org/lockdale/http/HttpClient.java
+++ b/http/src/main/java/org/lockdale/http/HttpClient.java
@@ -54,7 +54,7 @@
   /**
    * Creates a client.
    *
-   * @param group event loops for calls that name none
+   * @param group event loops for calls that specify none
    */
   public HttpClient(EventLoopGroup group) {
     this(group, CONNECT_TIMEOUT);
@@ -63,7 +63,7 @@
   /**
    * Creates a client.
    *
-   * @param group event loops for calls that name none
+   * @param group event loops for calls that specify none
    * @param connectTimeout maximum time to establish a connection
    */
   public HttpClient(EventLoopGroup group, Duration connectTimeout) {
@@ -73,7 +73,7 @@
   /**
    * Creates a client.
    *
-   * @param group event loops for calls that name none
+   * @param group event loops for calls that specify none
    * @param connectTimeout maximum time to establish a connection
    * @param exchangeListener notified of each completed {@link #exchange}
    */
@@ -85,7 +85,7 @@
   /**
    * Creates a client.
    *
-   * @param group event loops for calls that name none
+   * @param group event loops for calls that specify none
    * @param pool connections to use
    */
   HttpClient(EventLoopGroup group, ConnectionPool pool) {
@@ -182,9 +182,7 @@
       pool.release(channel, address);
       if (call.tryEnd()) {
         listener.onFailure(
-            new HttpCallException(
-                HttpCallException.Stage.NOT_SENT,
-                "the caller does not allow it to be sent any more"));
+            new HttpCallException(HttpCallException.Stage.NOT_SENT, "it may not be sent any more"));
       }
       return;
     }
@@ -246,11 +244,11 @@
   }
 
   private static Reachability reachabilityOf(Throwable cause) {
-    boolean unanswered =
+    boolean inconclusive =
         cause instanceof ConnectTimeoutException
             || cause instanceof NoRouteToHostException
             || !(cause instanceof ConnectException);
-    return unanswered ? Reachability.UNKNOWN : Reachability.REFUSES;
+    return inconclusive ? Reachability.UNKNOWN : Reachability.REFUSES;
   }
 
   private static String hostOf(InetSocketAddress address) {
--- a/http/src/test/java/org/lockdale/http/LoopbackPortsTest.java
+++ b/http/src/test/java/org/lockdale/http/LoopbackPortsTest.java
@@ -23,9 +23,9 @@
       InetSocketAddress address = LoopbackPorts.free();
       try (ServerSocket stream = new ServerSocket(address.getPort(), 1, address.getAddress());
           DatagramSocket datagrams = new DatagramSocket(address);
-          ServerSocket handedOut = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+          ServerSocket ephemeral = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
         assertTrue(stream.isBound() && datagrams.isBound());
-        assertTrue(address.getPort() < handedOut.getLocalPort(), "below the ephemeral range");
+        assertTrue(address.getPort() < ephemeral.getLocalPort(), "below the ephemeral range");
       }
     }
   }
