--- a/cli/src/main/java/org/lockdale/cli/Addresses.java
+++ b/cli/src/main/java/org/lockdale/cli/Addresses.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.TypeConversionException;
 
-/** Addresses in arguments and output, as {@code IP:port}. */
+/** Parses and formats addresses of the form {@code IP:port} in arguments and output. */
 final class Addresses {
 
   private Addresses() {}
@@ -19,7 +19,7 @@
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 
-  /** Converts arguments. */
+  /** Converts an argument of the form {@code IP:port}; host names are rejected. */
   static final class Converter implements ITypeConverter<InetSocketAddress> {
     @Override
     public InetSocketAddress convert(String text) {
--- a/cli/src/main/java/org/lockdale/cli/ApplyCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/ApplyCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Sets the resources of a file. */
+/** Creates or replaces the resources that a file describes; other resources are unchanged. */
 @Command(
     name = "apply",
     mixinStandardHelpOptions = true,
--- a/cli/src/main/java/org/lockdale/cli/CheckHistoryCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/CheckHistoryCommand.java
@@ -12,11 +12,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Judges histories. */
+/** Checks recorded histories against the guarantees of the router. */
 @Command(
     name = "check-history",
     mixinStandardHelpOptions = true,
-    description = "Judges the history in one or more files; exit status 0 if no promise is broken.")
+    description =
+        "Checks the history in one or more files; exit status 0 if no guarantee is violated.")
 final class CheckHistoryCommand implements Callable<Integer> {
 
   @Parameters(paramLabel = "FILE", arity = "1..*", description = "History, one event a line.")
--- a/cli/src/main/java/org/lockdale/cli/ControlCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/ControlCommand.java
@@ -8,11 +8,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Measures what an idle node spends on its engines. */
+/** Measures the processor time and allocation of an idle node for several numbers of engines. */
 @Command(
     name = "control",
     mixinStandardHelpOptions = true,
-    description = "Measures the control thread of one idle node before some engines in its zone.")
+    description =
+        "Measures the control thread of one idle node with several numbers of engines in its zone.")
 final class ControlCommand implements Callable<Integer> {
 
   private static final int WARM_UP_SECONDS = 5;
@@ -26,7 +27,7 @@
 
   @Override
   public Integer call() throws InterruptedException {
-    QuietLogs.begin();
+    QuietLogs.logWarningsOnly();
     for (int count : engines) {
       Deployment deployment =
           Deployment.find("gift-cards")
--- a/cli/src/main/java/org/lockdale/cli/DemoCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/DemoCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Runs a user's deployment on stand-ins and reports on it. */
+/** Runs an example deployment with stand-in engines and platform under load and prints a report. */
 @Command(
     name = "demo",
     mixinStandardHelpOptions = true,
@@ -32,7 +32,7 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    QuietLogs.begin();
+    QuietLogs.logWarningsOnly();
     Deployment deployment = Deployment.find(options.workload);
     double requestsPerSecond = options.rateOf(deployment);
     System.out.printf(
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Shows progress on a terminal and nothing in a pipe. */
+  /** Prints progress every second if the process is attached to a terminal. */
   private static ScheduledExecutorService startProgress(LocalCluster cluster) {
     ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor();
     if (System.console() != null) {
--- a/cli/src/main/java/org/lockdale/cli/Deployment.java
+++ b/cli/src/main/java/org/lockdale/cli/Deployment.java
@@ -20,12 +20,12 @@
  *
  * @param zones zones, each with one node
  * @param enginesByZone number of engines in each zone
- * @param model model that all engines hold
- * @param weightsVersion its weights version
+ * @param model model that all engines have loaded
+ * @param weightsVersion version of the model's weights
  * @param pool value of the engines' label {@code pool}
- * @param resource name of the configuration in this jar
- * @param workload requests
- * @param engineChange change of the standard engine
+ * @param resource class path name of the configuration file
+ * @param workload generator of the requests
+ * @param engineChange change applied to the standard engine settings
  */
 record Deployment(
     List<String> zones,
@@ -71,7 +71,7 @@
         "There is no workload '" + workloadName + "'; choose gift-cards or canal-hire.");
   }
 
-  /** Returns the same deployment in other zones with other engines. */
+  /** Returns this deployment with other zones, numbers of engines and change of their settings. */
   Deployment withEngines(
       List<String> newZones, List<Integer> newEngines, UnaryOperator<EngineSettings> change) {
     return new Deployment(
@@ -93,7 +93,7 @@
     return engines;
   }
 
-  /** Returns the resources of the configuration. */
+  /** Reads the resources of the configuration from the class path. */
   List<JsonNode> configuration() {
     try (InputStream stream = Deployment.class.getResourceAsStream(resource)) {
       return new YAMLMapper()
@@ -105,7 +105,12 @@
     }
   }
 
-  /** Returns the priority that the routes give to a service. */
+  /**
+   * Returns the priority that the routes assign to a service.
+   *
+   * @return the priority of the route that names the service, else that of the route without
+   *     expressions, else the name of the service
+   */
   String priorityOf(String service) {
     String fallback = service;
     for (JsonNode resource : configuration()) {
--- a/cli/src/main/java/org/lockdale/cli/EngineCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/EngineCommand.java
@@ -32,7 +32,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs a stand-in engine. */
+/** Runs a stand-in engine and registers it with the stand-in platform. */
 @Command(
     name = "engine",
     mixinStandardHelpOptions = true,
@@ -78,7 +78,7 @@
   @Option(
       names = "--ledger",
       paramLabel = "FILE",
-      description = "Appends a history event for every attempt that runs, before it does.")
+      description = "Appends a history event for every attempt before it runs.")
   private @Nullable Path ledgerFile;
 
   @Override
@@ -134,7 +134,7 @@
                 TIMEOUT)
             .join();
     if (reply.status() != 204) {
-      throw new OperatorException("The platform refused the engine: " + reply.bodyText());
+      throw new OperatorException("The platform rejected the engine: " + reply.bodyText());
     }
   }
 }
--- a/cli/src/main/java/org/lockdale/cli/ExitStatus.java
+++ b/cli/src/main/java/org/lockdale/cli/ExitStatus.java
@@ -1,15 +1,15 @@
 package org.lockdale.cli;
 
-/** Exit statuses of the command. */
+/** Exit statuses of the {@code lockdale} command. */
 final class ExitStatus {
 
-  /** Done. */
+  /** The command succeeded. */
   static final int OK = 0;
 
-  /** The work was done and its result is not what it should be, or a request was refused. */
+  /** The command ran with a negative result, such as a failed check, or a request was rejected. */
   static final int FAILED = 1;
 
-  /** The arguments or settings are wrong; nothing was started. */
+  /** The arguments or settings are invalid, or a port could not be bound. */
   static final int USAGE = 2;
 
   private ExitStatus() {}
--- a/cli/src/main/java/org/lockdale/cli/ExperimentCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/ExperimentCommand.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.Command;
 
-/** Experiments. */
+/** Groups the experiments as subcommands. */
 @Command(
     name = "experiment",
     mixinStandardHelpOptions = true,
--- a/cli/src/main/java/org/lockdale/cli/GetCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/GetCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
 
-/** Prints resources. */
+/** Prints the resources in force, all or those of a kind or name. */
 @Command(
     name = "get",
     mixinStandardHelpOptions = true,
--- a/cli/src/main/java/org/lockdale/cli/LabelCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/LabelCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Sets and removes labels of one resource. */
+/** Sets and removes labels of one resource; an engine without a resource gets one. */
 @Command(
     name = "label",
     mixinStandardHelpOptions = true,
--- a/cli/src/main/java/org/lockdale/cli/LoadCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/LoadCommand.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Sends a workload to running nodes. */
+/** Sends a workload to running nodes and prints the outcomes that callers observed. */
 @Command(
     name = "load",
     mixinStandardHelpOptions = true,
--- a/cli/src/main/java/org/lockdale/cli/LocalCluster.java
+++ b/cli/src/main/java/org/lockdale/cli/LocalCluster.java
@@ -30,7 +30,7 @@
 import org.lockdale.router.operator.OperatorApi;
 import org.lockdale.router.settings.NodeSettings;
 
-/** A deployment in one process on loopback: stand-in platform, stand-in engines, real nodes. */
+/** A deployment in one process on loopback: nodes with stand-in platform and engines. */
 final class LocalCluster implements AutoCloseable {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -58,19 +58,23 @@
     platform = PlatformServer.start(Addresses.loopback(0), group, seed);
   }
 
-  /** Starts a deployment and waits until all its nodes serve. */
+  /**
+   * Starts a deployment and waits until all its nodes serve.
+   *
+   * @throws OperatorException if they don't within 30 s
+   */
   static LocalCluster start(Deployment deployment, long seed) throws InterruptedException {
     return start(deployment, seed, Map.of());
   }
 
-  /** As {@link #start(Deployment, long)}, with further settings of all nodes. */
+  /** As {@link #start(Deployment, long)}, with additional settings for all nodes. */
   static LocalCluster start(Deployment deployment, long seed, Map<String, String> extraFlags)
       throws InterruptedException {
     LocalCluster cluster = new LocalCluster(seed, extraFlags);
     deployment.engines().forEach(cluster::startEngine);
     deployment.zones().forEach(cluster::startNode);
     cluster.applyConfiguration(deployment);
-    cluster.await(cluster::allServe);
+    cluster.await(cluster::allNodesServe);
     return cluster;
   }
 
@@ -109,7 +113,7 @@
     nodes.add(RouterNode.start(NodeSettings.load(null, flags)));
   }
 
-  /** Ends a node without a word. */
+  /** Closes a node abruptly, without a planned stop, and keeps its ports for a restart. */
   void killNode(int index) {
     RouterNode node = nodes.get(index);
     Map<String, String> flags = nodeFlags.get(index);
@@ -120,7 +124,7 @@
     node.close();
   }
 
-  /** Starts a node again that was killed, with the same id at the same addresses. */
+  /** Restarts a killed node with the same id and addresses. */
   void restartNode(int index) {
     nodes.set(index, RouterNode.start(NodeSettings.load(null, nodeFlags.get(index))));
   }
@@ -137,11 +141,11 @@
             .with("authorization", "Bearer " + extraFlags.getOrDefault("operators.token", "none"));
     HttpReply reply = client.exchange(nodes.get(0).operatorAddress(), request, CALL_TIMEOUT).join();
     if (reply.status() != 200) {
-      throw new OperatorException("The configuration was refused: " + reply.bodyText());
+      throw new OperatorException("The configuration was rejected: " + reply.bodyText());
     }
   }
 
-  private boolean allServe() {
+  private boolean allNodesServe() {
     return nodes.stream()
         .allMatch(
             node ->
@@ -152,9 +156,9 @@
   }
 
   private void await(BooleanSupplier condition) throws InterruptedException {
-    long giveUpAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MILLIS);
+    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MILLIS);
     while (!condition.getAsBoolean()) {
-      if (System.nanoTime() > giveUpAt) {
+      if (System.nanoTime() > deadline) {
         throw new OperatorException("The deployment did not start within 30 s.");
       }
       TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
--- a/cli/src/main/java/org/lockdale/cli/NodeCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/NodeCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs a node until it is told to stop; SIGTERM is a planned stop. */
+/** Runs a node; SIGTERM triggers a planned stop, which finishes open requests before the exit. */
 @Command(
     name = "node",
     mixinStandardHelpOptions = true,
--- a/cli/src/main/java/org/lockdale/cli/NodeThreadMeter.java
+++ b/cli/src/main/java/org/lockdale/cli/NodeThreadMeter.java
@@ -3,13 +3,13 @@
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadInfo;
 
-/** Processor time and allocation of the threads of nodes in this process, by their names. */
+/** Measures processor time and allocation of the nodes' threads in this process, by thread name. */
 final class NodeThreadMeter {
 
   /**
-   * What threads used since they started.
+   * Totals of a group of threads since they started.
    *
-   * @param processorNanos processor time
+   * @param processorNanos processor time in nanoseconds
    * @param allocatedBytes bytes allocated
    */
   record Usage(long processorNanos, long allocatedBytes) {
--- a/cli/src/main/java/org/lockdale/cli/OperatorClient.java
+++ b/cli/src/main/java/org/lockdale/cli/OperatorClient.java
@@ -18,7 +18,7 @@
 import org.lockdale.http.HttpRequestMessage;
 import org.lockdale.router.operator.OperatorApi;
 
-/** Asks a node's operators' interface. */
+/** Client of a node's operators' interface. */
 final class OperatorClient implements AutoCloseable {
 
   static final ObjectMapper MAPPER = new ObjectMapper();
@@ -50,9 +50,10 @@
   }
 
   /**
-   * Offers an edit.
+   * Submits an edit of the configuration.
    *
-   * @return the version it was accepted as
+   * @return the version under which the edit was accepted
+   * @throws OperatorException if the node rejects the edit or is unreachable
    */
   long edit(long baseVersion, List<JsonNode> resources, List<JsonNode> deletions, boolean dryRun) {
     ObjectNode edit =
@@ -76,7 +77,7 @@
       throw new OperatorException(
           "The node at "
               + Addresses.format(options.node)
-              + " can't be asked ("
+              + " is unreachable ("
               + unreachable.getCause().getMessage()
               + "); check that it runs and give its operators' address with --node.");
     }
@@ -87,7 +88,8 @@
       }
       return body;
     } catch (IOException malformed) {
-      throw new OperatorException("The node answered " + reply.status() + " with no JSON.");
+      throw new OperatorException(
+          "The node responded with status " + reply.status() + " and a body that is not JSON.");
     }
   }
 
--- a/cli/src/main/java/org/lockdale/cli/OperatorException.java
+++ b/cli/src/main/java/org/lockdale/cli/OperatorException.java
@@ -1,6 +1,9 @@
 package org.lockdale.cli;
 
-/** A node refused an operator's request or could not be asked. */
+/**
+ * Reports to an operator that a command failed, such as on invalid input, a rejected request or an
+ * unreachable node. The message is printed without a stack trace.
+ */
 final class OperatorException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/cli/src/main/java/org/lockdale/cli/OperatorOptions.java
+++ b/cli/src/main/java/org/lockdale/cli/OperatorOptions.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import picocli.CommandLine.Option;
 
-/** How operators' commands reach a node. */
+/** Options of operators' commands for reaching and authenticating to a node. */
 final class OperatorOptions {
 
   @Option(
--- a/cli/src/main/java/org/lockdale/cli/PlacementCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/PlacementCommand.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Compares placement policies. */
+/** Runs a scenario under several placement policies and compares their results. */
 @Command(
     name = "run",
     mixinStandardHelpOptions = true,
@@ -93,15 +93,15 @@
     System.out.printf(
         "%-16s %14s %14s %16s %16s %16s %8d%n",
         policy,
-        interval(results, result -> result.prefixHitRate() * PERCENT),
-        interval(results, result -> result.wastedShare() * PERCENT),
-        interval(results, PlacementResult::urgentP50),
-        interval(results, PlacementResult::urgentP99),
-        interval(results, PlacementResult::patientP99),
+        confidenceInterval(results, result -> result.prefixHitRate() * PERCENT),
+        confidenceInterval(results, result -> result.wastedShare() * PERCENT),
+        confidenceInterval(results, PlacementResult::urgentP50),
+        confidenceInterval(results, PlacementResult::urgentP99),
+        confidenceInterval(results, PlacementResult::patientP99),
         results.stream().mapToInt(PlacementResult::refused).sum());
   }
 
-  private static String interval(
+  private static String confidenceInterval(
       List<PlacementResult> results, ToDoubleFunction<PlacementResult> figure) {
     double mean = results.stream().mapToDouble(figure).average().orElse(0);
     double squares =
--- a/cli/src/main/java/org/lockdale/cli/PlatformCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/PlatformCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs the stand-in platform. */
+/** Runs the stand-in platform, which keeps tables and the machine list in memory. */
 @Command(
     name = "platform",
     mixinStandardHelpOptions = true,
--- a/cli/src/main/java/org/lockdale/cli/QuietLogs.java
+++ b/cli/src/main/java/org/lockdale/cli/QuietLogs.java
@@ -1,14 +1,17 @@
 package org.lockdale.cli;
 
-/** Keeps the log lines of requests out of commands whose output is for people. */
+/** Suppresses the log lines of requests in commands whose output is read by people. */
 final class QuietLogs {
 
   private static final String LEVEL = "tinylog.level";
 
   private QuietLogs() {}
 
-  /** Logs warnings and errors only; to be called before anything is logged. */
-  static void begin() {
+  /**
+   * Limits the log to warnings and errors, unless a level is set as a system property. Must be
+   * called before anything is logged.
+   */
+  static void logWarningsOnly() {
     if (System.getProperty(LEVEL) == null) {
       System.setProperty(LEVEL, "warn");
     }
--- a/cli/src/main/java/org/lockdale/cli/RelayCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/RelayCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Measures a node's speed. */
+/** Measures the latency that a node adds to requests and its cost of relaying streams. */
 @Command(
     name = "relay",
     mixinStandardHelpOptions = true,
@@ -16,8 +16,8 @@
   private static final int[] STREAMS = {1, 64, 1_024};
   private static final int WARM_UP_SECONDS = 5;
 
-  /** Tokens that fit the deadline of the priority at 33 ms a token. */
-  private static final int LONGEST_ANSWER = 240;
+  /** Largest response that ends before the deadline of the requests' priority at 33 ms a token. */
+  private static final int MAX_RESPONSE_TOKENS = 240;
 
   private static final double MICROS_PER_MILLI = 1_000;
 
@@ -27,18 +27,18 @@
   @Option(names = "--seconds", defaultValue = "10", description = "Default: ${DEFAULT-VALUE}.")
   private int seconds;
 
-  @Option(names = "--tokens", defaultValue = "30", description = "Tokens an answer.")
+  @Option(names = "--tokens", defaultValue = "30", description = "Tokens of a response.")
   private int tokens;
 
   @Override
   public Integer call() throws InterruptedException {
-    QuietLogs.begin();
+    QuietLogs.logWarningsOnly();
     try (LocalCluster cluster = LocalCluster.start(RelayExperiment.deployment(), 1)) {
       RelayExperiment experiment = new RelayExperiment(cluster);
       experiment.measureLatency(rate, WARM_UP_SECONDS, tokens);
       print(experiment.measureLatency(rate, seconds, tokens));
       for (int streams : STREAMS) {
-        int length = Math.min(LONGEST_ANSWER, Math.max(tokens, 8_000 / streams));
+        int length = Math.min(MAX_RESPONSE_TOKENS, Math.max(tokens, 8_000 / streams));
         RelayExperiment.RelayCost cost = experiment.measureRelay(streams, length);
         System.out.printf(
             "%5d streams: %8d tokens, %8.0f tokens/s a core, %6.0f bytes allocated a token%n",
--- a/cli/src/main/java/org/lockdale/cli/RelayExperiment.java
+++ b/cli/src/main/java/org/lockdale/cli/RelayExperiment.java
@@ -15,16 +15,16 @@
 import org.lockdale.emulator.load.PlannedRequest;
 import org.lockdale.router.node.RouterNode;
 
-/** Measures what a node adds to a request and what relaying a token costs it. */
+/** Measures the latency that a node adds to requests and its cost of relaying a token. */
 final class RelayExperiment {
 
-  /** The example's large tenants, whose limits together leave room for all streams. */
+  /** Large tenants of the example configuration; their limits together admit all streams. */
   private static final String[] TENANTS = {"sm-malls", "puregold", "sari-luzon"};
 
   private static final int ENGINES = 8;
   private static final long STEP_MICROS = 33_000;
-  private static final int RUNNING = 4_096;
-  private static final int DIRECT_EVERY = 4;
+  private static final int MAX_RUNNING = 4_096;
+  private static final int REQUESTS_PER_DIRECT_REQUEST = 4;
   private static final double NANOS_PER_SECOND = 1e9;
   private static final long MAX_MICROS = 60_000_000;
 
@@ -33,13 +33,20 @@
   private final HistoryRecorder history = new HistoryRecorder();
   private final NodeThreadMeter meter = new NodeThreadMeter();
 
-  /** Times to first token in microseconds. */
+  /**
+   * Times to first token, in microseconds, of requests sent directly to engines and through the
+   * node.
+   *
+   * @param requests number of requests through the node that got a first token
+   */
   record AddedLatency(
       double directP50, double nodeP50, double directP99, double nodeP99, long requests) {}
 
   /**
-   * Cost of relaying.
+   * Cost of relaying streams.
    *
+   * @param streams number of concurrent streams
+   * @param tokens tokens of the streams that ended complete
    * @param tokensPerCoreSecond tokens relayed in one second of processor time of the node
    * @param bytesPerToken bytes the node allocates for each token
    */
@@ -52,11 +59,11 @@
 
   static Deployment deployment() {
     return Deployment.find("gift-cards")
-        .withEngines(List.of("pasig-a"), List.of(ENGINES), RelayExperiment::fast);
+        .withEngines(List.of("pasig-a"), List.of(ENGINES), RelayExperiment::withFastSteps);
   }
 
-  private static EngineSettings fast(EngineSettings settings) {
-    return settings.withFastSteps(STEP_MICROS, RUNNING);
+  private static EngineSettings withFastSteps(EngineSettings settings) {
+    return settings.withFastSteps(STEP_MICROS, MAX_RUNNING);
   }
 
   private static PlannedRequest request(long number, int tokens) {
@@ -74,7 +81,10 @@
         null);
   }
 
-  /** Sends requests at a rate, one in some directly to an engine, and compares first tokens. */
+  /**
+   * Sends requests through the node at a constant rate, and beside every fourth of them another one
+   * directly to an engine, and records the times to first token of both.
+   */
   AddedLatency measureLatency(int requestsPerSecond, int seconds, int tokens)
       throws InterruptedException {
     InetSocketAddress node = cluster.callerAddresses().get(0);
@@ -85,10 +95,11 @@
     long start = System.nanoTime();
     for (int number = 0; number < total; number++) {
       pace(start, number, requestsPerSecond);
-      calls.add(sendNoting(number, tokens, node, relayed));
-      if (number % DIRECT_EVERY == 0) {
-        InetSocketAddress engine = cluster.engines().get(number / DIRECT_EVERY % ENGINES).address();
-        calls.add(sendNoting(-1 - number, tokens, engine, direct));
+      calls.add(sendRecordingFirstToken(number, tokens, node, relayed));
+      if (number % REQUESTS_PER_DIRECT_REQUEST == 0) {
+        InetSocketAddress engine =
+            cluster.engines().get(number / REQUESTS_PER_DIRECT_REQUEST % ENGINES).address();
+        calls.add(sendRecordingFirstToken(-1 - number, tokens, engine, direct));
       }
     }
     CompletableFuture.allOf(calls.toArray(CompletableFuture[]::new)).join();
@@ -108,7 +119,7 @@
     }
   }
 
-  private CompletableFuture<HistoryEvent.Call> sendNoting(
+  private CompletableFuture<HistoryEvent.Call> sendRecordingFirstToken(
       long number, int tokens, InetSocketAddress address, Histogram histogram) {
     return load.send(request(number, tokens), number, address)
         .whenComplete(
@@ -121,7 +132,7 @@
             });
   }
 
-  /** Opens a number of streams through the node and waits for their ends. */
+  /** Opens concurrent streams through the node, waits until all have ended and returns the cost. */
   RelayCost measureRelay(int streams, int tokens) {
     InetSocketAddress node = cluster.callerAddresses().get(0);
     NodeThreadMeter.Usage before = meter.read(RouterNode.REQUEST_THREADS);
--- a/cli/src/main/java/org/lockdale/cli/ReportPrinter.java
+++ b/cli/src/main/java/org/lockdale/cli/ReportPrinter.java
@@ -4,7 +4,7 @@
 import org.lockdale.emulator.history.Verdict;
 import org.lockdale.emulator.load.LoadReport;
 
-/** Prints reports for people. */
+/** Prints load reports and verdicts of the history check as text. */
 final class ReportPrinter {
 
   private static final int MAX_VIOLATIONS_SHOWN = 20;
@@ -15,7 +15,8 @@
   /**
    * Prints a report.
    *
-   * @param withEngineFigures whether the engines' own notes are part of it
+   * @param withEngineFigures whether the report includes the engines' records, from which the hit
+   *     rate, wasted recomputation and the verdict are computed
    */
   static void print(LoadReport report, boolean withEngineFigures) {
     System.out.printf("requests %d%n", report.requests());
--- a/cli/src/main/java/org/lockdale/cli/ResourceFiles.java
+++ b/cli/src/main/java/org/lockdale/cli/ResourceFiles.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Files of resources: YAML documents separated by {@code ---}. */
+/** Reads files of resources, which are YAML documents separated by {@code ---}. */
 final class ResourceFiles {
 
   private static final YAMLMapper MAPPER =
@@ -36,7 +36,7 @@
       throw new OperatorException(file + " can't be read; check the path and its permissions.");
     }
     if (documents.isEmpty()) {
-      throw new OperatorException(file + " holds no resource; write at least one document.");
+      throw new OperatorException(file + " contains no resource; write at least one document.");
     }
     return documents;
   }
--- a/cli/src/main/java/org/lockdale/cli/StatusCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/StatusCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 
-/** Prints the status of all nodes and engines. */
+/** Prints the status of all nodes and engines, and the configuration version at each node. */
 @Command(
     name = "status",
     mixinStandardHelpOptions = true,
--- a/cli/src/main/java/org/lockdale/cli/WorkloadOptions.java
+++ b/cli/src/main/java/org/lockdale/cli/WorkloadOptions.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 import picocli.CommandLine.Option;
 
-/** Which workload is sent, how fast and how long. */
+/** Options for the workload, its request rate, duration and seed. */
 final class WorkloadOptions {
 
   @Option(names = "--seconds", defaultValue = "10", description = "Default: ${DEFAULT-VALUE}.")
--- a/cli/src/test/java/org/lockdale/cli/BadInputTest.java
+++ b/cli/src/test/java/org/lockdale/cli/BadInputTest.java
@@ -15,10 +15,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Bad input is answered at once with a typed error, and leaves no request or connection behind. */
+/** Checks that invalid input gets a typed error and leaks no request, connection or thread. */
 public final class BadInputTest {
 
-  /** As LocalCluster sets for each node; one thread more does everything else. */
+  /** Request threads that LocalCluster configures for each node; one more is the control thread. */
   private static final int REQUEST_THREADS = 2;
 
   private static final String CHAT = "/v1/chat/completions";
@@ -29,7 +29,7 @@
   private LocalCluster cluster;
   private RouterNode node;
 
-  /** Starts one node with tight limits before two engines. */
+  /** Starts one node with low limits and two engines. */
   @BeforeClass
   public void start() throws InterruptedException {
     Deployment deployment =
@@ -52,13 +52,14 @@
     cluster.close();
   }
 
-  /** Nothing may be left of any request. */
+  /** Checks that no request, connection or additional thread remains after a test. */
   @AfterMethod
-  public void nothingIsLeft() throws InterruptedException {
+  public void assertNothingLeaked() throws InterruptedException {
     ProcessCluster.await("no request in flight", () -> node.requestsInFlight() == 0);
     ProcessCluster.await("no connection open", () -> node.callerConnections() == 0);
     ProcessCluster.await(
-        "no thread beyond the node's own", () -> nodeThreads() <= REQUEST_THREADS + 1);
+        "no thread beside the request and control threads",
+        () -> nodeThreads() <= REQUEST_THREADS + 1);
   }
 
   private static long nodeThreads() {
@@ -82,7 +83,7 @@
     return new RawHttp(node.callerAddress());
   }
 
-  /** Requests that can be written down whole: path, headers, body, expected status and code. */
+  /** Returns invalid requests: path, headers, body, expected status and error code. */
   @DataProvider
   public Object[][] requests() {
     return new Object[][] {
@@ -108,9 +109,11 @@
     };
   }
 
-  /** Each is answered with its status, its code, and the word that nothing ran. */
+  /**
+   * Each gets its status and error code, with the outcome {@code not_run}, and no engine runs it.
+   */
   @Test(dataProvider = "requests")
-  public void isRefused(String path, String headers, String body, int status, String code)
+  public void isRejected(String path, String headers, String body, int status, String code)
       throws IOException {
     int runsBefore = cluster.history().events().size();
     try (RawHttp http = connect()) {
@@ -120,19 +123,19 @@
       assertTrue(reply.contains("x-lockdale-outcome: not_run"), reply);
       assertTrue(reply.contains("x-request-id: "), reply);
     }
-    assertEquals(cluster.history().events().size(), runsBefore, "something ran");
+    assertEquals(cluster.history().events().size(), runsBefore, "an engine ran the request");
   }
 
-  /** A request line that is no HTTP is refused and the connection closed. */
+  /** A malformed request line gets status 400 and the connection is closed. */
   @Test
-  public void noHttpAtAll() throws IOException {
+  public void malformedRequestLine() throws IOException {
     try (RawHttp http = connect()) {
       String reply = http.send("\u0001\u0002 nonsense\r\n\r\n").readAll();
       assertTrue(reply.startsWith("http/1.1 400"), reply);
     }
   }
 
-  /** A body that comes too slowly is given up, although bytes keep coming. */
+  /** A request whose body stays incomplete past the body timeout gets status 408. */
   @Test
   public void slowBody() throws IOException {
     try (RawHttp http = connect()) {
@@ -143,9 +146,11 @@
     }
   }
 
-  /** A good request with a deadline that can't be met is answered when it passes, not run on. */
+  /**
+   * A valid request that cannot meet its deadline gets status 504 and is cancelled at the engine.
+   */
   @Test
-  public void deadlineInTheMiddle() throws IOException {
+  public void deadlineExpiresWhileRunning() throws IOException {
     String longAnswer = GOOD_BODY.replace("\"max_tokens\":2", "\"max_tokens\":4000");
     try (RawHttp http = connect()) {
       String reply =
@@ -157,9 +162,9 @@
     ProcessCluster.awaitIdle(cluster);
   }
 
-  /** A caller that goes away in the middle of a stream has it cancelled at the engine. */
+  /** If a caller disconnects in the middle of a stream, its request is cancelled at the engine. */
   @Test
-  public void callerLeavesMidStream() throws IOException, InterruptedException {
+  public void callerDisconnectsMidStream() throws IOException, InterruptedException {
     String longStream =
         GOOD_BODY.replace("\"max_tokens\":2", "\"max_tokens\":100000,\"stream\":true");
     try (RawHttp http = connect()) {
@@ -168,7 +173,7 @@
     ProcessCluster.awaitIdle(cluster);
   }
 
-  /** Several requests written at once on one connection are answered in their order. */
+  /** Pipelined requests on one connection get their responses in the order of the requests. */
   @Test
   public void pipelinedRequestsKeepTheirOrder() throws IOException {
     InetSocketAddress address = node.callerAddress();
--- a/cli/src/test/java/org/lockdale/cli/CallerInterfaceTest.java
+++ b/cli/src/test/java/org/lockdale/cli/CallerInterfaceTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** The rest of the callers' interface: plain completions, models, adapters, text parts. */
+/** Checks plain completions, the list of models, adapters and content in text parts. */
 public final class CallerInterfaceTest {
 
   private static final String HEADERS =
@@ -22,7 +22,7 @@
 
   private LocalCluster cluster;
 
-  /** Starts one node before one engine. */
+  /** Starts one node with one engine. */
   @BeforeClass
   public void start() throws InterruptedException {
     cluster =
@@ -38,31 +38,31 @@
     cluster.close();
   }
 
-  private String ask(String path, String body) throws IOException {
+  private String post(String path, String body) throws IOException {
     try (RawHttp http = new RawHttp(cluster.callerAddresses().get(0))) {
       return http.post(path, HEADERS, body).readAll();
     }
   }
 
-  private static String answer(String prompt, int tokens) {
+  private static String expectedText(String prompt, int tokens) {
     return AnswerText.whole(AnswerText.digest(prompt.getBytes(StandardCharsets.UTF_8)), tokens);
   }
 
-  /** A plain completion is answered whole. */
+  /** A plain completion returns the complete text. */
   @Test
   public void plainCompletion() throws IOException {
     String reply =
-        ask("/v1/completions", "{\"model\":\"gift-llm\",\"prompt\":\"one\",\"max_tokens\":3}");
+        post("/v1/completions", "{\"model\":\"gift-llm\",\"prompt\":\"one\",\"max_tokens\":3}");
     assertTrue(reply.startsWith("http/1.1 200"), reply);
-    assertTrue(reply.contains("\"text\":\"" + answer("one", 3)), reply);
+    assertTrue(reply.contains("\"text\":\"" + expectedText("one", 3)), reply);
     assertTrue(reply.contains("\"object\":\"text_completion\""), reply);
   }
 
-  /** A plain completion is streamed to its end marker. */
+  /** A streamed plain completion contains all tokens and the end marker. */
   @Test
   public void plainStream() throws IOException {
     String reply =
-        ask(
+        post(
             "/v1/completions",
             "{\"model\":\"gift-llm\",\"prompt\":\"two\",\"max_tokens\":2,\"stream\":true}");
     assertTrue(reply.contains("\"text\":\"" + AnswerText.tokenAt(digest("two"), 0)), reply);
@@ -74,18 +74,18 @@
     return AnswerText.digest(prompt.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Content in text parts is the same prompt as content in one text. */
+  /** Content in several text parts is the same prompt as their concatenation. */
   @Test
   public void textPartsAreJoined() throws IOException {
     String reply =
-        ask(
+        post(
             "/v1/chat/completions",
             "{\"model\":\"gift-llm\",\"max_tokens\":2,\"messages\":[{\"role\":\"user\",\"content\":"
                 + "[{\"type\":\"text\",\"text\":\"ab\"},{\"type\":\"text\",\"text\":\"cd\"}]}]}");
-    assertTrue(reply.contains("\"content\":\"" + answer("user\nabcd\n", 2)), reply);
+    assertTrue(reply.contains("\"content\":\"" + expectedText("user\nabcd\n", 2)), reply);
   }
 
-  /** An adapter that operators add is listed and served under its name. */
+  /** An adapter that an operator adds is listed and served under its name. */
   @Test
   public void adaptersAreServed() throws IOException, InterruptedException {
     Path file = Files.createTempFile("adapter", ".yaml");
@@ -107,9 +107,9 @@
       assertTrue(models.contains("\"id\":\"gift-llm:disputes\""), models);
     }
     String reply =
-        ask(
+        post(
             "/v1/completions",
             "{\"model\":\"gift-llm:disputes\",\"prompt\":\"three\",\"max_tokens\":3}");
-    assertTrue(reply.contains(answer("three", 3)), reply);
+    assertTrue(reply.contains(expectedText("three", 3)), reply);
   }
 }
--- a/cli/src/test/java/org/lockdale/cli/ConfigurationRaceTest.java
+++ b/cli/src/test/java/org/lockdale/cli/ConfigurationRaceTest.java
@@ -33,7 +33,7 @@
 import org.lockdale.router.operator.OperatorApi;
 import org.testng.annotations.Test;
 
-/** Operators race on one label at different nodes while the platform loses replies. */
+/** Operators edit one label concurrently at different nodes while the platform loses responses. */
 public final class ConfigurationRaceTest {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -45,7 +45,10 @@
   private final Set<Long> accepted = new HashSet<>();
   private int conflicts;
 
-  /** Each version is accepted once, is in force everywhere in time, and no node ever goes back. */
+  /**
+   * Each version is accepted once and comes into force at all nodes in time, and no node reverts to
+   * an older version.
+   */
   @Test
   public void racingOperators() throws InterruptedException {
     try (LocalCluster cluster = LocalCluster.start(Deployment.find("gift-cards"), 1)) {
@@ -72,7 +75,7 @@
       sample(cluster);
       Verdict verdict = HistoryChecker.check(history.events());
       assertTrue(verdict.holds(), verdict.violations().toString());
-      assertTrue(conflicts > 0, "no race ever happened");
+      assertTrue(conflicts > 0, "no edit conflicted");
     }
   }
 
@@ -86,14 +89,17 @@
     }
   }
 
-  /** On a loaded machine operators that don't wait for each other edit one after the other. */
+  /**
+   * Submits edits, each after all operators have read the configuration. Without that barrier they
+   * edit one after the other on a loaded machine, and no conflict occurs.
+   */
   private void edit(HttpClient client, RouterNode node, CyclicBarrier allHaveRead) {
     for (int edit = 0; edit < EDITS; edit++) {
       JsonNode configuration = read(client, node);
       long base = configuration.path("version").asLong();
       await(allHaveRead);
-      HttpReply reply = offer(client, node, base, "value-" + edit);
-      note(base, reply);
+      HttpReply reply = submitEdit(client, node, base, "value-" + edit);
+      recordResponse(base, reply);
     }
   }
 
@@ -101,11 +107,11 @@
     try {
       barrier.await(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
     } catch (InterruptedException | BrokenBarrierException | TimeoutException stopped) {
-      throw new AssertionError("an operator has not come as far", stopped);
+      throw new AssertionError("another operator did not reach the barrier", stopped);
     }
   }
 
-  private synchronized void note(long base, HttpReply reply) {
+  private synchronized void recordResponse(long base, HttpReply reply) {
     if (reply.status() == 200) {
       assertTrue(accepted.add(base + 1), "version " + (base + 1) + " was accepted twice");
       history.add(new HistoryEvent.ConfigurationAccepted(base + 1, history.nowMicros()));
@@ -128,7 +134,7 @@
     }
   }
 
-  private static HttpReply offer(HttpClient client, RouterNode node, long base, String value) {
+  private static HttpReply submitEdit(HttpClient client, RouterNode node, long base, String value) {
     ObjectNode edit = MAPPER.createObjectNode().put("baseVersion", base).put("author", "racer");
     ObjectNode resource = edit.putArray("resources").addObject();
     resource.put("apiVersion", "lockdale/v1").put("kind", "Engine");
--- a/cli/src/test/java/org/lockdale/cli/FaultDriver.java
+++ b/cli/src/test/java/org/lockdale/cli/FaultInjector.java
@@ -9,42 +9,42 @@
 import org.lockdale.emulator.history.HistoryEvent;
 import org.lockdale.emulator.platform.PlatformFaults;
 
-/** Brings about faults in a deployment in this process, in an order that a seed decides. */
-final class FaultDriver {
+/** Injects faults into a deployment in this process, in an order determined by a seed. */
+final class FaultInjector {
 
-  private static final int KINDS = 7;
+  private static final int FAULT_KINDS = 7;
 
   private final LocalCluster cluster;
   private final UniformRandomProvider random;
-  private final List<String> done = new ArrayList<>();
+  private final List<String> injectedFaults = new ArrayList<>();
 
-  FaultDriver(LocalCluster cluster, long seed) {
+  FaultInjector(LocalCluster cluster, long seed) {
     this.cluster = cluster;
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
   }
 
-  /** Brings about a number of faults, each of which is over when the next one begins. */
+  /** Injects a number of faults one after the other, with pauses of 200 to 500 ms. */
   void run(int faults) throws InterruptedException {
     for (int fault = 0; fault < faults; fault++) {
-      step();
+      injectNext();
       TimeUnit.MILLISECONDS.sleep(200 + random.nextInt(300));
     }
   }
 
-  /** Returns what was done, for a failure's message. */
-  List<String> done() {
-    return done;
+  /** Returns the injected faults in order, for failure messages. */
+  List<String> injectedFaults() {
+    return injectedFaults;
   }
 
-  private void step() throws InterruptedException {
-    switch (random.nextInt(KINDS)) {
+  private void injectNext() throws InterruptedException {
+    switch (random.nextInt(FAULT_KINDS)) {
       case 0 -> crashEngine();
       case 1 -> freezeEngine();
-      case 2 -> platform("outage", new PlatformFaults(true, 0, 0, 0, 1_000));
-      case 3 -> platform("lost replies", new PlatformFaults(false, 0, 500, 0, 1_000));
-      case 4 -> platform("slow", new PlatformFaults(false, 400, 0, 0, 1_000));
+      case 2 -> injectPlatformFault("outage", new PlatformFaults(true, 0, 0, 0, 1_000));
+      case 3 -> injectPlatformFault("lost replies", new PlatformFaults(false, 0, 500, 0, 1_000));
+      case 4 -> injectPlatformFault("slow", new PlatformFaults(false, 400, 0, 0, 1_000));
       case 5 -> restartNode();
-      default -> engineLeaves();
+      default -> drainEngine();
     }
   }
 
@@ -54,20 +54,20 @@
 
   private void crashEngine() {
     EngineServer engine = anyEngine();
-    done.add("crash " + engine.settings().id());
+    injectedFaults.add("crash " + engine.settings().id());
     engine.crash();
   }
 
   private void freezeEngine() throws InterruptedException {
     EngineServer engine = anyEngine();
-    done.add("freeze " + engine.settings().id());
+    injectedFaults.add("freeze " + engine.settings().id());
     engine.freeze();
     TimeUnit.MILLISECONDS.sleep(800);
     engine.thaw();
   }
 
-  private void platform(String name, PlatformFaults faults) throws InterruptedException {
-    done.add("platform " + name);
+  private void injectPlatformFault(String name, PlatformFaults faults) throws InterruptedException {
+    injectedFaults.add("platform " + name);
     cluster.platform().setFaults(faults);
     TimeUnit.MILLISECONDS.sleep(1_200);
     cluster.platform().setFaults(PlatformFaults.NONE);
@@ -75,15 +75,15 @@
 
   private void restartNode() throws InterruptedException {
     int node = random.nextInt(cluster.nodes().size());
-    done.add("restart node " + node);
+    injectedFaults.add("restart node " + node);
     cluster.killNode(node);
     TimeUnit.MILLISECONDS.sleep(300);
     cluster.restartNode(node);
   }
 
-  private void engineLeaves() {
+  private void drainEngine() {
     EngineServer engine = anyEngine();
-    done.add("leave " + engine.settings().id());
+    injectedFaults.add("leave " + engine.settings().id());
     String incarnation = engine.leave();
     long now = cluster.history().nowMicros();
     cluster.history().add(new HistoryEvent.EngineLeaving(engine.settings().id(), incarnation, now));
--- a/cli/src/test/java/org/lockdale/cli/FaultsTest.java
+++ b/cli/src/test/java/org/lockdale/cli/FaultsTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Concurrent runs of the whole system under faults, judged by the history checker. */
+/** Runs the complete system under load and faults and checks the recorded history. */
 public final class FaultsTest {
 
   private static final int FAULTS = 10;
@@ -19,8 +19,8 @@
   private static final double SECONDS = 10;
 
   /**
-   * Seeds, by turns for both workloads. Others are run by {@code mvn -B verify -pl cli
-   * -Dtest=FaultsTest -Dlockdale.faults.seeds=7,8}.
+   * Returns seeds with their workloads: canal-hire for even seeds, gift-cards for odd ones. Other
+   * seeds are run by {@code mvn -B verify -pl cli -Dtest=FaultsTest -Dlockdale.faults.seeds=7,8}.
    */
   @DataProvider
   public Object[][] runs() {
@@ -33,17 +33,17 @@
     return runs;
   }
 
-  /** No promise is broken whatever fails; most requests are answered all the same. */
+  /** No guarantee is violated under faults, and some requests complete. */
   @Test(dataProvider = "runs")
   public void promisesHoldUnderFaults(long seed, String workload) throws InterruptedException {
     Deployment deployment = Deployment.find(workload);
     try (LocalCluster cluster = LocalCluster.start(deployment, seed)) {
-      FaultDriver faults = new FaultDriver(cluster, seed);
-      CompletableFuture<Void> driven =
+      FaultInjector injector = new FaultInjector(cluster, seed);
+      CompletableFuture<Void> injection =
           CompletableFuture.runAsync(
               () -> {
                 try {
-                  faults.run(FAULTS);
+                  injector.run(FAULTS);
                 } catch (InterruptedException interrupted) {
                   throw new CompletionException(interrupted);
                 }
@@ -51,7 +51,7 @@
       new LoadGenerator(cluster.eventLoops(), cluster.history())
           .run(
               deployment.workload(), cluster.callerAddresses(), REQUESTS_PER_SECOND, SECONDS, seed);
-      driven.join();
+      injection.join();
       for (EngineServer engine : cluster.engines()) {
         cluster
             .history()
@@ -60,10 +60,15 @@
       LoadReport report = LoadReport.of(cluster.history().events(), deployment::priorityOf);
       assertTrue(
           report.verdict().holds(),
-          "seed " + seed + " after " + faults.done() + ": " + report.verdict().violations());
+          "seed "
+              + seed
+              + " after "
+              + injector.injectedFaults()
+              + ": "
+              + report.verdict().violations());
       System.out.printf(
           "faults seed %d: %s, ends %s, errors %s%n",
-          seed, faults.done(), report.ends(), report.errors());
+          seed, injector.injectedFaults(), report.ends(), report.errors());
       assertTrue(report.ends().getOrDefault("COMPLETE", 0) > 0);
     }
   }
--- a/cli/src/test/java/org/lockdale/cli/OperatorCommandsTest.java
+++ b/cli/src/test/java/org/lockdale/cli/OperatorCommandsTest.java
@@ -18,7 +18,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** The operators' commands: what they print and how they exit. */
+/** Checks the output and exit statuses of the operators' commands. */
 public final class OperatorCommandsTest {
 
   private static final String TOKEN = "operators-token-for-tests";
@@ -70,7 +70,7 @@
     return execute(all.toArray(String[]::new));
   }
 
-  /** What get prints, apply takes, and diff finds no difference. */
+  /** The output of get is valid input of apply, and diff finds no difference. */
   @Test
   public void getPrintsWhatApplyTakes() throws IOException {
     Run get = operate("get", "tenants");
@@ -90,7 +90,7 @@
     }
   }
 
-  /** An invalid file is refused as a whole, with the documents named. */
+  /** An invalid file is rejected completely, and the error names the missing resource. */
   @Test
   public void anInvalidFileChangesNothing() throws IOException {
     long before = cluster.nodes().get(1).blackboard().configuration().value().version();
@@ -110,7 +110,7 @@
     assertEquals(cluster.nodes().get(1).blackboard().configuration().value().version(), before);
   }
 
-  /** An edit without the token is refused, and the token is never printed. */
+  /** An edit with a wrong token is rejected, and the token is not printed. */
   @Test
   public void editsNeedTheToken() {
     Run label =
@@ -126,7 +126,7 @@
     assertFalse(label.errors().contains("wrong-token"), label.errors());
   }
 
-  /** Status shows every node and engine, and explanation the choice and its reason. */
+  /** status lists nodes and engines; explain prints the deciding route and the chosen engine. */
   @Test
   public void statusAndExplanation() {
     Run status = operate("status");
@@ -147,7 +147,7 @@
     assertEquals(operate("explain", "--tenant=sm-malls", "--model=none").status(), 1);
   }
 
-  /** Health and metrics stand on the operators' port. */
+  /** Health and metrics are served on the operators' port. */
   @Test
   public void healthAndMetrics() throws IOException {
     for (String path : List.of("/health/live", "/health/ready", "/metrics")) {
@@ -164,7 +164,8 @@
   }
 
   /**
-   * Wrong settings and arguments exit with 2 and start nothing; a node that is not there with 1.
+   * Invalid settings and options exit with 2; an unreachable node, an unknown kind and a missing
+   * file exit with 1.
    */
   @Test
   public void exitStatuses() {
@@ -177,7 +178,7 @@
     assertEquals(execute("apply", "-f", "no-such-file.yaml").status(), 1);
   }
 
-  /** The printed settings hide secrets. */
+  /** Secrets are masked in the printed settings. */
   @Test
   public void printedSettingsHideSecrets() {
     Run printed =
--- a/cli/src/test/java/org/lockdale/cli/OutcomeAfterRetryTest.java
+++ b/cli/src/test/java/org/lockdale/cli/OutcomeAfterRetryTest.java
@@ -12,7 +12,8 @@
 import org.testng.annotations.Test;
 
 /**
- * A request that may be repeated, whose first attempt may have run and whose second can't start.
+ * Checks the outcome of a repeatable request whose first attempt may have run and whose second
+ * attempt cannot start.
  */
 public final class OutcomeAfterRetryTest {
 
@@ -22,7 +23,7 @@
       "{\"model\":\"gift-llm\",\"max_tokens\":300,\"messages\":[{\"role\":\"user\",\"content\":"
           + "\"draft a letter\"}]}";
 
-  /** The caller is not told that it did not run, since the first attempt did. */
+  /** The outcome is {@code unknown} rather than {@code not_run}, because the first attempt ran. */
   @Test
   public void anEarlierAttemptCounts() throws IOException, InterruptedException {
     Deployment deployment =
@@ -31,10 +32,11 @@
     try (LocalCluster cluster = LocalCluster.start(deployment, 1)) {
       EngineServer engine = cluster.engines().get(0);
       cluster.engines().get(1).leave();
-      ProcessCluster.await("the node knows that the other engine leaves", () -> leaving(cluster));
+      ProcessCluster.await(
+          "the node knows that the other engine is draining", () -> seesDrainingEngine(cluster));
       try (RawHttp http = new RawHttp(cluster.callerAddresses().get(0))) {
         http.post("/v1/chat/completions", HEADERS, BODY);
-        ProcessCluster.await("it runs", () -> engine.activeAttempts() == 1);
+        ProcessCluster.await("the engine runs the request", () -> engine.activeAttempts() == 1);
         engine.crash();
         String reply = http.readAll();
         assertTrue(reply.startsWith("http/1.1 503"), reply);
@@ -49,7 +51,7 @@
     }
   }
 
-  private static boolean leaving(LocalCluster cluster) {
+  private static boolean seesDrainingEngine(LocalCluster cluster) {
     return cluster.nodes().get(0).blackboard().engines().value().engines().stream()
         .anyMatch(EngineView::leaving);
   }
--- a/cli/src/test/java/org/lockdale/cli/PlannedStopTest.java
+++ b/cli/src/test/java/org/lockdale/cli/PlannedStopTest.java
@@ -21,7 +21,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** A planned stop cuts off nothing, and a restarted node serves though the platform is down. */
+/** Checks that a planned stop finishes open streams, and that a node restarts in an outage. */
 public final class PlannedStopTest {
 
   private static final int STREAMS = 40;
@@ -58,7 +58,7 @@
         .send(request, number, cluster.callerAddresses().get(node));
   }
 
-  /** All open streams end whole, new requests are refused as not run, and then the node is gone. */
+  /** Open streams complete, new requests are rejected as not run, and then the node stops. */
   @Test
   public void aPlannedStopCutsOffNothing() throws InterruptedException, IOException {
     RouterNode node = cluster.nodes().get(1);
@@ -82,7 +82,7 @@
     stopped.join();
   }
 
-  /** A node that restarts while the platform is down learns all from its peers and serves. */
+  /** A node that restarts while the platform is down gets its state from its peers and serves. */
   @Test
   public void aRestartedNodeServesWithoutThePlatform() throws InterruptedException {
     cluster.platform().setFaults(new PlatformFaults(true, 0, 0, 0, 1_000));
--- a/cli/src/test/java/org/lockdale/cli/ProcessCluster.java
+++ b/cli/src/test/java/org/lockdale/cli/ProcessCluster.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** Real processes of a deployment, started and ended by a test. */
+/** A deployment of separate processes, started and stopped by a test. */
 final class ProcessCluster implements AutoCloseable {
 
   private static final long TIMEOUT_SECONDS = 60;
@@ -28,7 +28,11 @@
   private final Map<String, Path> logs = new LinkedHashMap<>();
   private final HttpClient client = HttpClient.newHttpClient();
 
-  /** Starts a process and waits for the line in which it tells its addresses. */
+  /**
+   * Starts a process and waits for the line {@code ready} with its addresses.
+   *
+   * @throws IOException if the process prints something else first
+   */
   void start(String name, String... arguments) throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -46,14 +50,15 @@
     if (ready == null || !ready.startsWith("ready ")) {
       throw new IOException(name + " did not start: " + ready);
     }
-    Map<String, String> told = new LinkedHashMap<>();
+    Map<String, String> readyFields = new LinkedHashMap<>();
     for (String field : ready.substring("ready ".length()).split(" ")) {
-      told.put(field.substring(0, field.indexOf('=')), field.substring(field.indexOf('=') + 1));
+      readyFields.put(
+          field.substring(0, field.indexOf('=')), field.substring(field.indexOf('=') + 1));
     }
-    addresses.put(name, told);
+    addresses.put(name, readyFields);
   }
 
-  /** Returns the file of a process's log. */
+  /** Returns the log file of a process, which is created at its first start and then reused. */
   private Path logOf(String name) throws IOException {
     Path existing = logs.get(name);
     if (existing != null) {
@@ -80,7 +85,7 @@
     processes.get(name).destroyForcibly().waitFor();
   }
 
-  /** Runs an operator's command in this JVM. */
+  /** Runs an operator's command in this JVM and returns its exit status. */
   int lockdale(String... arguments) {
     return Lockdale.commandLine().execute(arguments);
   }
@@ -99,18 +104,22 @@
     return client.send(request.build(), HttpResponse.BodyHandlers.ofString());
   }
 
-  /** Waits on a condition, which decides; the time only bounds a failure. */
+  /**
+   * Polls a condition until it holds; the timeout only limits how long a failing test takes.
+   *
+   * @throws AssertionError if the condition does not hold within 60 s
+   */
   static void await(String what, BooleanSupplier condition) throws InterruptedException {
-    long giveUpAt = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
     while (!condition.getAsBoolean()) {
-      if (System.nanoTime() > giveUpAt) {
+      if (System.nanoTime() > deadline) {
         throw new AssertionError("not within " + TIMEOUT_SECONDS + " s: " + what);
       }
       TimeUnit.MILLISECONDS.sleep(20);
     }
   }
 
-  /** Waits until no engine of a deployment in this process runs anything. */
+  /** Waits until no engine of a deployment in this process runs an attempt. */
   static void awaitIdle(LocalCluster cluster) {
     try {
       await(
--- a/cli/src/test/java/org/lockdale/cli/RawHttp.java
+++ b/cli/src/test/java/org/lockdale/cli/RawHttp.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** A socket on which a test writes HTTP by hand, as a careless or hostile client would. */
+/** A socket on which a test writes raw HTTP, to send what HTTP clients would not. */
 final class RawHttp implements AutoCloseable {
 
   private static final int READ_TIMEOUT_MILLIS = 20_000;
@@ -25,7 +25,7 @@
     return this;
   }
 
-  /** Sends a request with a body of JSON. */
+  /** Sends a POST request that asks the server to close the connection after its response. */
   RawHttp post(String path, String headers, String body) throws IOException {
     return send(
         "POST "
@@ -38,7 +38,9 @@
             + body);
   }
 
-  /** Reads until the peer closes the connection; head names in lower case. */
+  /**
+   * Reads until the peer closes the connection; returns the status line and headers in lower case.
+   */
   String readAll() throws IOException {
     String reply = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     int head = reply.indexOf("\r\n\r\n");
@@ -47,14 +49,18 @@
         : reply.substring(0, head).toLowerCase(Locale.ROOT) + reply.substring(head);
   }
 
-  /** Reads until a text has come, and returns all that came. */
+  /**
+   * Reads until a text has been received and returns everything received.
+   *
+   * @throws IOException if the connection is closed before
+   */
   String readUntil(String text) throws IOException {
     StringBuilder seen = new StringBuilder();
     InputStream input = socket.getInputStream();
     while (seen.indexOf(text) < 0) {
       int next = input.read();
       if (next < 0) {
-        throw new IOException("closed before '" + text + "' came: " + seen);
+        throw new IOException("closed before '" + text + "' was received: " + seen);
       }
       seen.append((char) next);
     }
--- a/cli/src/test/java/org/lockdale/cli/RunOnceTest.java
+++ b/cli/src/test/java/org/lockdale/cli/RunOnceTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What callers are told of requests with an idempotency key, and what truly ran. */
+/** Compares the reported outcomes of requests with an idempotency key to the recorded runs. */
 public final class RunOnceTest {
 
   private static final int LONG = 60;
@@ -59,7 +59,8 @@
             body(prompt, tokens));
   }
 
-  private String ask(int node, String key, String prompt, int tokens) throws IOException {
+  private String sendAndReadAll(int node, String key, String prompt, int tokens)
+      throws IOException {
     try (RawHttp http = send(node, key, prompt, tokens)) {
       return http.readAll();
     }
@@ -78,39 +79,41 @@
 
   private void awaitRunning() throws InterruptedException {
     ProcessCluster.await(
-        "an engine runs it",
+        "an engine runs the request",
         () -> cluster.engines().stream().anyMatch(engine -> engine.activeAttempts() > 0));
   }
 
-  /** A repeat gets the stored answer, at any node, and nothing runs again. */
+  /** A repeated request gets the stored response at any node, and the request runs only once. */
   @Test
   public void aRepeatGetsTheStoredAnswer() throws IOException, InterruptedException {
-    String first = ask(0, "k1", "redeem one", 4);
+    String first = sendAndReadAll(0, "k1", "redeem one", 4);
     assertTrue(first.contains(AnswerText.whole(digest("redeem one"), 4)), first);
     ProcessCluster.await(
-        "the answer is stored", () -> answersLike(1, "k1", "redeem one", 4, "http/1.1 200"));
+        "the response is stored",
+        () -> responseStartsWith(1, "k1", "redeem one", 4, "http/1.1 200"));
     assertEquals(runsOf("redeem one"), 1);
   }
 
-  private boolean answersLike(int node, String key, String prompt, int tokens, String start) {
+  private boolean responseStartsWith(
+      int node, String key, String prompt, int tokens, String start) {
     try {
-      return ask(node, key, prompt, tokens).startsWith(start);
+      return sendAndReadAll(node, key, prompt, tokens).startsWith(start);
     } catch (IOException failure) {
       throw new AssertionError(failure);
     }
   }
 
-  /** The key of one request can't be used for another. */
+  /** A key that is reused with another body is rejected with status 422. */
   @Test
   public void aKeyIsForOneBody() throws IOException {
-    ask(0, "k2", "redeem two", 4);
-    String reply = ask(1, "k2", "redeem three", 4);
+    sendAndReadAll(0, "k2", "redeem two", 4);
+    String reply = sendAndReadAll(1, "k2", "redeem three", 4);
     assertTrue(reply.startsWith("http/1.1 422"), reply);
     assertTrue(reply.contains("idempotency_key_reused"), reply);
     assertEquals(runsOf("redeem three"), 0);
   }
 
-  /** An engine that dies in the middle: the outcome is unknown, and stays so for repeats. */
+  /** If the engine crashes while it runs a request, the outcome is unknown, also for repeats. */
   @Test
   public void anEngineThatDiesLeavesTheOutcomeUnknown() throws IOException, InterruptedException {
     try (RawHttp http = send(0, "k3", "redeem four", LONG)) {
@@ -121,49 +124,50 @@
       assertTrue(reply.contains("\"outcome\":\"unknown\""), reply);
     }
     ProcessCluster.await(
-        "a repeat is told that the outcome is unknown",
-        () -> answersLike(1, "k3", "redeem four", LONG, "http/1.1 409"));
-    assertTrue(ask(0, "k3", "redeem four", LONG).contains("outcome_unknown"));
+        "a repeated request gets the outcome unknown",
+        () -> responseStartsWith(1, "k3", "redeem four", LONG, "http/1.1 409"));
+    assertTrue(sendAndReadAll(0, "k3", "redeem four", LONG).contains("outcome_unknown"));
     assertEquals(runsOf("redeem four"), 1);
   }
 
-  /** While the table service is down nothing runs, and the same key works once it is back. */
+  /** While the table service is down nothing runs; the same key succeeds after the outage. */
   @Test
   public void anOutageOfTheClaimsIsNotRun() throws IOException, InterruptedException {
     cluster.platform().setFaults(new PlatformFaults(true, 0, 0, 0, 1_000));
-    String refused = ask(0, "k4", "redeem five", 4);
-    assertTrue(refused.startsWith("http/1.1 503"), refused);
-    assertTrue(refused.contains("claim_store_unavailable"), refused);
-    assertTrue(refused.contains("\"outcome\":\"not_run\""), refused);
-    assertTrue(refused.contains("retry-after: "), refused);
+    String rejected = sendAndReadAll(0, "k4", "redeem five", 4);
+    assertTrue(rejected.startsWith("http/1.1 503"), rejected);
+    assertTrue(rejected.contains("claim_store_unavailable"), rejected);
+    assertTrue(rejected.contains("\"outcome\":\"not_run\""), rejected);
+    assertTrue(rejected.contains("retry-after: "), rejected);
     assertEquals(runsOf("redeem five"), 0);
     cluster.platform().setFaults(PlatformFaults.NONE);
     ProcessCluster.await(
-        "the same key runs", () -> answersLike(0, "k4", "redeem five", 4, "http/1.1 200"));
+        "the same key runs", () -> responseStartsWith(0, "k4", "redeem five", 4, "http/1.1 200"));
     assertEquals(runsOf("redeem five"), 1);
   }
 
-  /** Every reply of the platform is lost: nothing runs that the caller is told did not run. */
+  /** While all responses of the platform are lost, a request without a 200 response has not run. */
   @Test
   public void lostRepliesRunAtMostOnce() throws IOException, InterruptedException {
     cluster.platform().setFaults(new PlatformFaults(false, 0, 1_000, 0, 1_000));
-    String reply = ask(0, "k5", "redeem six", 4);
+    String reply = sendAndReadAll(0, "k5", "redeem six", 4);
     boolean ran = reply.startsWith("http/1.1 200");
     assertEquals(runsOf("redeem six"), ran ? 1 : 0, reply);
     cluster.platform().setFaults(PlatformFaults.NONE);
     ProcessCluster.await(
-        "the key is answered", () -> answersLike(1, "k5", "redeem six", 4, "http/1.1 200"));
+        "the key is answered", () -> responseStartsWith(1, "k5", "redeem six", 4, "http/1.1 200"));
     assertEquals(runsOf("redeem six"), 1);
   }
 
-  /** A caller that goes away gets the answer of the one run when it asks again. */
+  /** A caller that disconnects gets the response of the only run when it repeats the request. */
   @Test
   public void aCallerThatLeftGetsItsAnswerLater() throws IOException, InterruptedException {
     try (RawHttp http = send(0, "k6", "redeem seven", LONG)) {
       awaitRunning();
     }
     ProcessCluster.await(
-        "the answer is stored", () -> answersLike(1, "k6", "redeem seven", LONG, "http/1.1 200"));
+        "the response is stored",
+        () -> responseStartsWith(1, "k6", "redeem seven", LONG, "http/1.1 200"));
     assertEquals(runsOf("redeem seven"), 1);
   }
 }
--- a/cli/src/test/java/org/lockdale/cli/SeparateProcessesTest.java
+++ b/cli/src/test/java/org/lockdale/cli/SeparateProcessesTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** The whole path over separate processes: three nodes, three engines, one platform. */
+/** Runs requests through separate processes: three nodes, three engines and one platform. */
 public final class SeparateProcessesTest {
 
   private static final String[] ZONES = {"pasig-a", "pasig-b", "makati-c"};
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Ends the processes. */
+  /** Kills the processes. */
   @AfterClass(alwaysRun = true)
   public void stop() {
     cluster.close();
@@ -91,7 +91,7 @@
     return AnswerText.whole(AnswerText.digest(text), TOKENS);
   }
 
-  private HttpResponse<String> ask(String zone, String prompt, boolean stream) {
+  private HttpResponse<String> post(String zone, String prompt, boolean stream) {
     try {
       return cluster.complete(zone, "key-sm-malls", body(prompt, stream));
     } catch (IOException | InterruptedException failure) {
@@ -99,31 +99,31 @@
     }
   }
 
-  /** Engines that answer a spread of prompts at one node. */
+  /** Returns the engines that serve 24 different prompts sent to one node. */
   private Set<String> enginesOfNode(String zone) {
     Set<String> engines = new HashSet<>();
     for (int number = 0; number < 24; number++) {
-      HttpResponse<String> reply = ask(zone, ("prompt " + number + " ").repeat(40), false);
+      HttpResponse<String> reply = post(zone, ("prompt " + number + " ").repeat(40), false);
       reply.headers().firstValue("x-lockdale-engine").ifPresent(engines::add);
     }
     return engines;
   }
 
-  /** A whole answer comes back through every node. */
+  /** Every node returns the complete response. */
   @Test
   public void answersAreWhole() {
     for (String zone : ZONES) {
-      HttpResponse<String> reply = ask(zone, "what is left on card 7", false);
+      HttpResponse<String> reply = post(zone, "what is left on card 7", false);
       assertEquals(reply.statusCode(), 200, reply.body());
       assertTrue(reply.body().contains(expected("what is left on card 7")), reply.body());
       assertEquals(reply.headers().firstValue("x-lockdale-outcome").orElse(""), "complete");
     }
   }
 
-  /** A stream arrives in order and ends with its end marker. */
+  /** A stream is complete, in order and ends with the end marker. */
   @Test
   public void streamsAreWholeAndInOrder() {
-    HttpResponse<String> reply = ask(ZONES[1], "stream me", true);
+    HttpResponse<String> reply = post(ZONES[1], "stream me", true);
     StringBuilder text = new StringBuilder();
     reply
         .body()
@@ -153,7 +153,7 @@
     ProcessCluster.await("llm-02 is used again", () -> enginesOfNode(ZONES[0]).contains("llm-02"));
   }
 
-  /** An edit made on an older version loses and names the newer one. */
+  /** An edit based on an older version is rejected. */
   @Test(dependsOnMethods = "aLabelChangesTheChoice")
   public void anEditOnAnOldVersionConflicts() {
     assertEquals(
@@ -162,7 +162,7 @@
         1);
   }
 
-  /** The log has a line for each request, and neither keys nor prompts. */
+  /** The log contains request lines but neither keys nor prompts. */
   @Test(dependsOnMethods = "anEditOnAnOldVersionConflicts")
   public void logsHoldNoSecrets() throws IOException {
     String log = cluster.log(ZONES[0]);
--- a/cli/src/test/java/org/lockdale/cli/StockClientTest.java
+++ b/cli/src/test/java/org/lockdale/cli/StockClientTest.java
@@ -20,14 +20,14 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** A stock OpenAI client works unchanged, but for its base address. */
+/** Checks that the official OpenAI client works when only its base URL is changed. */
 public final class StockClientTest {
 
   private static final int TOKENS = 5;
 
   private LocalCluster cluster;
 
-  /** Starts one node before two engines. */
+  /** Starts one node with two engines. */
   @BeforeClass
   public void start() throws InterruptedException {
     cluster =
@@ -51,7 +51,7 @@
         .build();
   }
 
-  private static ChatCompletionCreateParams question(String model, String prompt) {
+  private static ChatCompletionCreateParams chatRequest(String model, String prompt) {
     return ChatCompletionCreateParams.builder()
         .model(model)
         .addUserMessage(prompt)
@@ -64,25 +64,25 @@
     return AnswerText.whole(AnswerText.digest(text), TOKENS);
   }
 
-  /** A whole answer. */
+  /** A completion without streaming returns the complete text and its token count. */
   @Test
   public void wholeAnswer() {
     OpenAIClient client = client("key-sm-malls");
     ChatCompletion answer =
-        client.chat().completions().create(question("gift-llm", "what is left on card 9"));
+        client.chat().completions().create(chatRequest("gift-llm", "what is left on card 9"));
     assertEquals(
         answer.choices().get(0).message().content().orElseThrow(),
         expected("what is left on card 9"));
     assertEquals(answer.usage().orElseThrow().completionTokens(), TOKENS);
   }
 
-  /** A stream. */
+  /** The chunks of a streamed completion add up to the complete text. */
   @Test
   public void stream() {
     OpenAIClient client = client("key-sm-malls");
     StringBuilder text = new StringBuilder();
     try (StreamResponse<ChatCompletionChunk> chunks =
-        client.chat().completions().createStreaming(question("gift-llm", "stream it"))) {
+        client.chat().completions().createStreaming(chatRequest("gift-llm", "stream it"))) {
       chunks.stream()
           .flatMap(chunk -> chunk.choices().stream())
           .forEach(choice -> choice.delta().content().ifPresent(text::append));
@@ -90,7 +90,7 @@
     assertEquals(text.toString(), expected("stream it"));
   }
 
-  /** Models are listed, and errors come as the client's own types. */
+  /** Models are listed, and errors are mapped to the client's exception types. */
   @Test
   public void modelsAndErrors() {
     OpenAIClient client = client("key-sm-malls");
@@ -98,9 +98,9 @@
         client.models().list().data().stream().anyMatch(model -> model.id().equals("gift-llm")));
     expectThrows(
         NotFoundException.class,
-        () -> client.chat().completions().create(question("none", "hello")));
+        () -> client.chat().completions().create(chatRequest("none", "hello")));
     expectThrows(
         UnauthorizedException.class,
-        () -> client("wrong").chat().completions().create(question("gift-llm", "hello")));
+        () -> client("wrong").chat().completions().create(chatRequest("gift-llm", "hello")));
   }
 }
--- a/cli/src/test/java/org/lockdale/cli/StrangerTest.java
+++ b/cli/src/test/java/org/lockdale/cli/StrangerTest.java
@@ -21,14 +21,15 @@
 import org.lockdale.router.peer.PeerTransport;
 import org.testng.annotations.Test;
 
-/** Only holders of the shared key are heard by nodes. */
+/** Checks that nodes process peer messages only from holders of the shared key. */
 public final class StrangerTest {
 
   /**
-   * A process with another key can neither join nor pull the configuration; one with the key can.
+   * A process with another key can neither join nor pull the configuration; one with the shared key
+   * can.
    */
   @Test
-  public void aStrangerIsNotHeard() throws InterruptedException {
+  public void messagesSignedWithAnotherKeyAreIgnored() throws InterruptedException {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     try (LocalCluster cluster = LocalCluster.start(Deployment.find("gift-cards"), 1)) {
       AtomicInteger toStranger = new AtomicInteger();
@@ -36,9 +37,9 @@
       try (PeerTransport stranger = transport(group, "another-key-of-16-characters", toStranger);
           PeerTransport friend = transport(group, "demonstration-key-only", toFriend)) {
         RouterNode node = cluster.nodes().get(0);
-        ask(group, stranger, "stranger", node);
-        ask(group, friend, "friend", node);
-        ProcessCluster.await("the friend is answered", () -> toFriend.get() >= 2);
+        sendJoinAndPull(group, stranger, "stranger", node);
+        sendJoinAndPull(group, friend, "friend", node);
+        ProcessCluster.await("the friend gets replies", () -> toFriend.get() >= 2);
         assertEquals(toStranger.get(), 0);
         List<String> known = node.blackboard().members().value().stream().map(Member::id).toList();
         assertTrue(known.contains("friend"), known.toString());
@@ -55,9 +56,10 @@
   }
 
   /**
-   * Asks in the order of the connection's loop: what the stranger sent comes before the friend's.
+   * Sends a join and a configuration pull and waits until both are written, so that the messages of
+   * the stranger are sent before those of the friend.
    */
-  private static void ask(
+  private static void sendJoinAndPull(
       EventLoopGroup group, PeerTransport transport, String id, RouterNode node) {
     MemberUpdate sender =
         new MemberUpdate(
--- a/cli/src/test/java/org/lockdale/cli/StreamResumeTest.java
+++ b/cli/src/test/java/org/lockdale/cli/StreamResumeTest.java
@@ -13,15 +13,17 @@
 import org.lockdale.emulator.history.HistoryEvent;
 import org.testng.annotations.Test;
 
-/** A stream whose connection to the engine breaks, twice, while the engine goes on. */
+/**
+ * Checks a stream whose connection to the engine breaks twice while the engine keeps running it.
+ */
 public final class StreamResumeTest {
 
   private static final int TOKENS = 120;
   private static final Pattern CONTENT = Pattern.compile("\"content\":\"([^\"]*)\"");
 
-  /** The caller gets the whole stream in order, and the request ran once. */
+  /** The caller gets the complete stream in order, and the request runs once. */
   @Test
-  public void aBrokenConnectionIsTakenUpAgain() throws IOException, InterruptedException {
+  public void streamResumesAfterBrokenConnection() throws IOException, InterruptedException {
     Deployment deployment =
         Deployment.find("gift-cards")
             .withEngines(List.of("pasig-a"), List.of(1), UnaryOperator.identity());
--- a/cli/src/test/java/org/lockdale/cli/WeightsRolloutTest.java
+++ b/cli/src/test/java/org/lockdale/cli/WeightsRolloutTest.java
@@ -13,14 +13,14 @@
 import org.lockdale.emulator.load.LoadReport;
 import org.testng.annotations.Test;
 
-/** New weights reach one engine after the other under traffic. */
+/** Rolls out new weights to one engine after the other under load. */
 public final class WeightsRolloutTest {
 
   private static final double SECONDS = 8;
 
   /**
-   * No request is refused and no block of older weights is used, although the stand-in engines keep
-   * the old blocks in their caches.
+   * Every request completes and no cached block of the old weights is used, although the stand-in
+   * engines keep the old blocks in their caches.
    */
   @Test
   public void rollingOutNewWeights() throws InterruptedException {
