--- a/experiments/src/main/java/org/lockdale/experiments/PlacementResult.java
+++ b/experiments/src/main/java/org/lockdale/experiments/PlacementResult.java
@@ -1,15 +1,16 @@
 package org.lockdale.experiments;
 
 /**
- * The users' three measures for one policy and seed.
+ * Measured hit rate, wasted recomputation and latency of one policy and seed.
  *
- * @param requests requests that were measured
- * @param refused requests that an engine refused for its full queue
- * @param prefixHitRate prompt tokens found in caches over all prompt tokens
- * @param wastedShare prefilled tokens that another engine held over all prefilled tokens
- * @param urgentP50 median time to first token of the requests that can't wait, in milliseconds
- * @param urgentP99 99th percentile of the same
- * @param patientP99 99th percentile of the others
+ * @param requests requests that ran in the measured period
+ * @param refused requests that an engine rejected because its queue was full
+ * @param prefixHitRate ratio of prompt tokens found in caches to all prompt tokens
+ * @param wastedShare ratio of prefilled tokens that another engine had cached to all prefilled
+ *     tokens
+ * @param urgentP50 median time to first token of urgent requests, in milliseconds
+ * @param urgentP99 99th percentile of the time to first token of urgent requests, in milliseconds
+ * @param patientP99 99th percentile of the time to first token of all others, in milliseconds
  */
 public record PlacementResult(
     int requests,
--- a/experiments/src/main/java/org/lockdale/experiments/PlacementSimulation.java
+++ b/experiments/src/main/java/org/lockdale/experiments/PlacementSimulation.java
@@ -20,17 +20,17 @@
 import org.lockdale.emulator.load.PlannedRequest;
 import org.lockdale.emulator.load.Workload;
 
-/** One run of a scenario under one policy on a virtual clock. */
+/** Simulates one scenario under one placement policy on a virtual clock. */
 public final class PlacementSimulation {
 
   private static final double MICROS_PER_SECOND = 1e6;
   private static final double MICROS_PER_MILLI = 1e3;
   private static final long MAX_MICROS = 600_000_000;
   private static final int BYTES_PER_TOKEN = 4;
-  private static final int URGENT = 900;
-  private static final int PATIENT = 100;
+  private static final int URGENT_PRIORITY = 900;
+  private static final int PATIENT_PRIORITY = 100;
 
-  /** Services whose callers can wait. */
+  /** Services whose requests tolerate waiting and get the low priority. */
   private static final Set<String> PATIENT_SERVICES = Set.of("dispute-draft", "contract-draft");
 
   private final Scenario scenario;
@@ -62,7 +62,7 @@
                 SimulatedEngine.settings(id, scenario.zones().get(zone), scenario.cacheBlocks()),
                 time,
                 RandomSource.XO_RO_SHI_RO_128_PP.create(random.nextLong()),
-                this::ran,
+                this::recordRun,
                 census));
       }
     }
@@ -73,7 +73,11 @@
     this.policy = new Policies(scenario, time, choices).find(policyName);
   }
 
-  /** Runs a scenario under a policy. */
+  /**
+   * Runs a scenario under a policy.
+   *
+   * @throws IllegalArgumentException if there is no such policy or workload
+   */
   public static PlacementResult run(Scenario scenario, String policy, long seed) {
     return new PlacementSimulation(scenario, policy, seed).run();
   }
@@ -101,13 +105,13 @@
     time.schedule(
         (long) (gap * MICROS_PER_SECOND),
         () -> {
-          arrive(workload.next(random, sent));
+          dispatch(workload.next(random, sent));
           sent++;
           scheduleArrival();
         });
   }
 
-  private void arrive(PlannedRequest request) {
+  private void dispatch(PlannedRequest request) {
     SimulatedNodeView node = nodes.get((int) (sent % nodes.size()));
     byte[] prompt =
         new PromptText()
@@ -120,8 +124,8 @@
     PlacementPolicy.Choice choice = policy.choose(node, engines, chain, tokens);
     SimulatedEngine engine = choice.engine();
     node.activityOf(engine).sent(choice.uncachedTokens());
-    boolean far = !engine.zone().equals(node.zone());
-    double hopMillis = far ? scenario.zoneLatencyMillis() : 0;
+    boolean isInOtherZone = !engine.zone().equals(node.zone());
+    double hopMillis = isInOtherZone ? scenario.zoneLatencyMillis() : 0;
     boolean isPatient = PATIENT_SERVICES.contains(request.service());
     EngineRequest submitted =
         new EngineRequest(
@@ -134,8 +138,9 @@
             AnswerText.digest(("" + sent).getBytes(StandardCharsets.UTF_8)),
             tokens,
             request.maxTokens(),
-            isPatient ? PATIENT : URGENT);
-    Answer answer = new Answer(node, engine, chain, hopMillis, isPatient ? patient : urgent);
+            isPatient ? PATIENT_PRIORITY : URGENT_PRIORITY);
+    LatencyRecorder answer =
+        new LatencyRecorder(node, engine, chain, hopMillis, isPatient ? patient : urgent);
     time.schedule(
         (long) (hopMillis * MICROS_PER_MILLI),
         () -> {
@@ -145,7 +150,7 @@
         });
   }
 
-  private void ran(RunRecord run) {
+  private void recordRun(RunRecord run) {
     if (isMeasuring()) {
       measured++;
       promptTokens += run.promptTokens();
@@ -154,7 +159,7 @@
     }
   }
 
-  private final class Answer implements EngineOutput {
+  private final class LatencyRecorder implements EngineOutput {
     private final SimulatedNodeView node;
     private final SimulatedEngine engine;
     private final PrefixChain chain;
@@ -162,7 +167,7 @@
     private final Histogram histogram;
     private final long arrivedMicros = time.nowMicros();
 
-    Answer(
+    LatencyRecorder(
         SimulatedNodeView node,
         SimulatedEngine engine,
         PrefixChain chain,
@@ -178,8 +183,8 @@
     @Override
     public void onToken(int index, String text) {
       if (index == 0 && isMeasuring()) {
-        double wayMillis = hopMillis + 2 * scenario.clientLatencyMillis();
-        long micros = time.nowMicros() - arrivedMicros + (long) (wayMillis * MICROS_PER_MILLI);
+        double networkMillis = hopMillis + 2 * scenario.clientLatencyMillis();
+        long micros = time.nowMicros() - arrivedMicros + (long) (networkMillis * MICROS_PER_MILLI);
         histogram.recordValue(Math.min(MAX_MICROS, micros));
       }
     }
--- a/experiments/src/main/java/org/lockdale/experiments/Policies.java
+++ b/experiments/src/main/java/org/lockdale/experiments/Policies.java
@@ -19,45 +19,48 @@
 import org.lockdale.router.policy.PolicySet;
 import org.lockdale.router.policy.Selector;
 
-/** The policies by name: the daemon's own, the baselines and the oracle. */
+/** The placement policies by name: that of the router, the baselines and the oracle. */
 final class Policies {
 
   private static final int TOKENS_PER_BLOCK = PrefixChain.BLOCK_BYTES / 4;
 
-  /** Blocks of the prefix that plain consistent hashing takes for its key: 1,024 tokens. */
+  /** Leading prefix blocks that form the key of consistent hashing: 1,024 tokens. */
   private static final int HASHED_BLOCKS = 16;
 
   private final Map<String, PlacementPolicy> byName = new HashMap<>();
-  private int turn;
+  private int nextRoundRobin;
 
   Policies(Scenario scenario, VirtualTime time, UniformRandomProvider random) {
     PolicySet distances = distancesOf(scenario);
     byName.put(
         "lockdale",
-        (node, engines, chain, tokens) -> own(node, engines, chain, tokens, distances, time));
+        (node, engines, chain, tokens) ->
+            chooseWithRouter(node, engines, chain, tokens, distances, time));
     byName.put(
         "round-robin",
-        (node, engines, chain, tokens) -> new Choice(engines.get(turn++ % engines.size()), tokens));
+        (node, engines, chain, tokens) ->
+            new Choice(engines.get(nextRoundRobin++ % engines.size()), tokens));
     byName.put(
         "least-loaded",
-        (node, engines, chain, tokens) -> new Choice(leastLoaded(node, engines), tokens));
+        (node, engines, chain, tokens) -> new Choice(chooseLeastLoaded(node, engines), tokens));
     byName.put(
         "two-choices",
         (node, engines, chain, tokens) -> {
           SimulatedEngine first = engines.get(random.nextInt(engines.size()));
           SimulatedEngine second = engines.get(random.nextInt(engines.size()));
-          return new Choice(leastLoaded(node, List.of(first, second)), tokens);
+          return new Choice(chooseLeastLoaded(node, List.of(first, second)), tokens);
         });
     byName.put(
         "consistent-hash",
-        (node, engines, chain, tokens) -> new Choice(hashed(engines, chain), tokens));
+        (node, engines, chain, tokens) ->
+            new Choice(chooseByConsistentHash(engines, chain), tokens));
     byName.put(
         "oracle",
         (node, engines, chain, tokens) ->
-            new Choice(oracle(node, engines, chain, tokens, scenario), tokens));
+            new Choice(chooseWithActualState(node, engines, chain, tokens, scenario), tokens));
   }
 
-  /** Returns all names. */
+  /** Returns the names of all policies. */
   static Set<String> names() {
     return new TreeSet<>(
         Set.of(
@@ -82,7 +85,7 @@
     return new PolicySet(1, Map.of(), Map.of(), List.of(), Map.of(), latencies);
   }
 
-  private static Choice own(
+  private static Choice chooseWithRouter(
       SimulatedNodeView node,
       List<SimulatedEngine> engines,
       PrefixChain chain,
@@ -106,7 +109,7 @@
     return engines.stream().filter(engine -> engine.id().equals(id)).findFirst().orElseThrow();
   }
 
-  private static SimulatedEngine leastLoaded(
+  private static SimulatedEngine chooseLeastLoaded(
       SimulatedNodeView node, List<SimulatedEngine> engines) {
     return engines.stream()
         .min(
@@ -119,7 +122,8 @@
         .orElseThrow();
   }
 
-  private static SimulatedEngine hashed(List<SimulatedEngine> engines, PrefixChain chain) {
+  private static SimulatedEngine chooseByConsistentHash(
+      List<SimulatedEngine> engines, PrefixChain chain) {
     int depth = Math.min(chain.length(), HASHED_BLOCKS);
     long key = depth == 0 ? 0 : chain.hashAt(depth - 1);
     return engines.stream()
@@ -131,8 +135,8 @@
         .orElseThrow();
   }
 
-  /** Sees all caches and queues without lag, and estimates as the daemon does. */
-  private static SimulatedEngine oracle(
+  /** Estimates as the router does, but from the actual caches and queues of the engines. */
+  private static SimulatedEngine chooseWithActualState(
       SimulatedNodeView node,
       List<SimulatedEngine> engines,
       PrefixChain chain,
@@ -142,14 +146,14 @@
         .min(
             Comparator.comparingDouble(
                 engine -> {
-                  long cached = (long) engine.trulyCached(chain) * TOKENS_PER_BLOCK;
-                  long prefill = engine.trulyPendingTokens() + promptTokens - cached;
+                  long cached = (long) engine.actualCachedBlocks(chain) * TOKENS_PER_BLOCK;
+                  long prefill = engine.actualPendingTokens() + promptTokens - cached;
                   double millis = prefill * 1_000.0 / engine.report().prefillTokensPerSecond();
-                  int excess = Math.max(0, engine.trulyActive() + 1 - engine.maxRunning());
-                  boolean far = !engine.zone().equals(node.zone());
+                  int excess = Math.max(0, engine.actualActiveAttempts() + 1 - engine.maxRunning());
+                  boolean isInOtherZone = !engine.zone().equals(node.zone());
                   return millis
                       + excess * 1_000.0 / engine.maxRunning()
-                      + (far ? 2 * scenario.zoneLatencyMillis() : 0);
+                      + (isInOtherZone ? 2 * scenario.zoneLatencyMillis() : 0);
                 }))
         .orElseThrow();
   }
--- a/experiments/src/main/java/org/lockdale/experiments/Scenario.java
+++ b/experiments/src/main/java/org/lockdale/experiments/Scenario.java
@@ -12,17 +12,17 @@
 import org.lockdale.emulator.load.Workload;
 
 /**
- * What is simulated.
+ * Parameters of a simulation.
  *
  * @param workload {@code gift-cards} or {@code canal-hire}
  * @param zones zones, each with one node
- * @param engines engines by zone
- * @param zoneLatencyMillis one-way latency between zones
- * @param clientLatencyMillis one-way latency between callers and nodes
- * @param cacheBlocks blocks that fit the cache of an engine
- * @param requestsPerSecond mean rate of arrivals, which are independent of each other
- * @param warmUpSeconds time before figures are taken
- * @param seconds time in which figures are taken
+ * @param engines number of engines in each zone
+ * @param zoneLatencyMillis one-way latency between zones, in milliseconds
+ * @param clientLatencyMillis one-way latency between callers and nodes, in milliseconds
+ * @param cacheBlocks capacity of the cache of an engine, in blocks
+ * @param requestsPerSecond mean rate of arrivals, which are independent of each other (Poisson)
+ * @param warmUpSeconds simulated time before the measured period
+ * @param seconds length of the measured period in simulated time
  */
 public record Scenario(
     String workload,
@@ -38,8 +38,8 @@
   /**
    * Loads a scenario.
    *
-   * @param nameOrFile name of a shipped scenario, or a file
-   * @throws IllegalArgumentException if there is none
+   * @param nameOrFile name of a built-in scenario, or path of a YAML file
+   * @throws UncheckedIOException if there is neither such a scenario nor a readable file
    */
   public static Scenario load(String nameOrFile) {
     try (InputStream shipped =
@@ -51,7 +51,7 @@
       return mapper.readValue(Files.readAllBytes(Path.of(nameOrFile)), Scenario.class);
     } catch (IOException unreadable) {
       throw new UncheckedIOException(
-          "'" + nameOrFile + "' is no shipped scenario and no readable file", unreadable);
+          "'" + nameOrFile + "' is neither a built-in scenario nor a readable file", unreadable);
     }
   }
 
--- a/experiments/src/main/java/org/lockdale/experiments/SimulatedEngine.java
+++ b/experiments/src/main/java/org/lockdale/experiments/SimulatedEngine.java
@@ -17,9 +17,9 @@
 /** A stand-in engine on the virtual clock. */
 final class SimulatedEngine {
 
-  /** Hears of every attempt that runs. */
+  /** Is notified of every attempt that runs. */
   interface Ledger {
-    void ran(RunRecord run);
+    void onRun(RunRecord run);
   }
 
   private final VirtualTime time;
@@ -39,7 +39,7 @@
     this.identity = Rendezvous.identityOf(settings.id());
     this.model =
         new EngineModel(
-            settings, settings.id() + "-1", random, time::nowMicros, ledger::ran, census);
+            settings, settings.id() + "-1", random, time::nowMicros, ledger::onRun, census);
   }
 
   static EngineSettings settings(String id, String zone, int cacheBlocks) {
@@ -67,18 +67,18 @@
     return model.loadReport();
   }
 
-  /** Returns the blocks it truly holds of a chain, which only the oracle may ask. */
-  int trulyCached(PrefixChain chain) {
+  /** Returns the number of a chain's blocks in the actual cache; only the oracle may read it. */
+  int actualCachedBlocks(PrefixChain chain) {
     return model.cachedPrefix(chain);
   }
 
-  /** Returns prompt tokens it truly has still to compute, which only the oracle may ask. */
-  long trulyPendingTokens() {
+  /** Returns the prompt tokens actually left to compute; only the oracle may read it. */
+  long actualPendingTokens() {
     return model.pendingPromptTokens();
   }
 
-  /** Returns sequences it truly runs or queues, which only the oracle may ask. */
-  int trulyActive() {
+  /** Returns the sequences actually running or queued; only the oracle may read it. */
+  int actualActiveAttempts() {
     return model.activeAttempts();
   }
 
--- a/experiments/src/main/java/org/lockdale/experiments/SimulatedNodeView.java
+++ b/experiments/src/main/java/org/lockdale/experiments/SimulatedNodeView.java
@@ -14,19 +14,19 @@
 import org.lockdale.router.placement.PopularityCounter;
 import org.lockdale.router.placement.PrefixIndex;
 
-/** What one node believes: load as last reported, and prefixes from its own dispatches. */
+/** State of the cluster as known to one node: last reported loads and prefixes it dispatched. */
 final class SimulatedNodeView {
 
-  private static final long OWN_ZONE_MICROS = 250_000;
-  private static final long OTHER_ZONE_MICROS = 1_000_000;
+  private static final long SAME_ZONE_REPORT_MICROS = 250_000;
+  private static final long OTHER_ZONE_REPORT_MICROS = 1_000_000;
   private static final int PREFIX_CAPACITY = 131_072;
-  private static final long BELIEF_LIFETIME_MILLIS = 30_000;
-  private static final InetSocketAddress NOWHERE =
+  private static final long PREFIX_LIFETIME_MILLIS = 30_000;
+  private static final InetSocketAddress PLACEHOLDER_ADDRESS =
       InetSocketAddress.createUnresolved("simulated", 1);
 
   private final String zone;
   private final VirtualTime time;
-  private final PrefixIndex prefixes = new PrefixIndex(PREFIX_CAPACITY, BELIEF_LIFETIME_MILLIS);
+  private final PrefixIndex prefixes = new PrefixIndex(PREFIX_CAPACITY, PREFIX_LIFETIME_MILLIS);
   private final PopularityCounter popularity = new PopularityCounter();
   private final Map<String, EngineActivity> activities = new HashMap<>();
   private final Map<String, EngineView> views = new HashMap<>();
@@ -37,7 +37,7 @@
     this.time = time;
     for (SimulatedEngine engine : engines) {
       activities.put(engine.id(), new EngineActivity());
-      read(engine);
+      refresh(engine);
     }
   }
 
@@ -61,7 +61,7 @@
     return activities.get(engine.id());
   }
 
-  private void read(SimulatedEngine engine) {
+  private void refresh(SimulatedEngine engine) {
     LoadReport report = engine.report();
     EngineActivity activity = activities.get(engine.id());
     activity.reported();
@@ -78,7 +78,7 @@
         new EngineView(
             engine.id(),
             engine.identity(),
-            NOWHERE,
+            PLACEHOLDER_ADDRESS,
             engine.zone(),
             Map.of(),
             engine.incarnation(),
@@ -89,7 +89,7 @@
     List<EngineView> all = new ArrayList<>(views.values());
     all.sort((left, right) -> left.id().compareTo(right.id()));
     table = new EngineTable(List.copyOf(all));
-    long interval = engine.zone().equals(zone) ? OWN_ZONE_MICROS : OTHER_ZONE_MICROS;
-    time.schedule(interval, () -> read(engine));
+    long interval = engine.zone().equals(zone) ? SAME_ZONE_REPORT_MICROS : OTHER_ZONE_REPORT_MICROS;
+    time.schedule(interval, () -> refresh(engine));
   }
 }
--- a/experiments/src/main/java/org/lockdale/experiments/package-info.java
+++ b/experiments/src/main/java/org/lockdale/experiments/package-info.java
@@ -1,4 +1,4 @@
-/** Placement policies compared on a virtual clock, with the daemon's own decision classes. */
+/** Compares placement policies on a virtual clock, with the decision classes of the router. */
 @NullMarked
 package org.lockdale.experiments;
 
