--- a/benchmarks/src/main/java/org/lockdale/benchmarks/DecisionBenchmark.java
+++ b/benchmarks/src/main/java/org/lockdale/benchmarks/DecisionBenchmark.java
@@ -29,7 +29,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Cost of deciding where one request runs, and of taking in one configuration change. */
+/** Measures the cost of choosing an engine for a request and of parsing a configuration. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -53,7 +53,7 @@
   private Map<String, String> labels;
   private PrefixChain chain;
 
-  /** Builds the deployment. */
+  /** Builds the configuration, the engines and a prompt whose prefix one engine has cached. */
   @Setup
   public void setUp() {
     Arrays.fill(prompt, (byte) 'x');
@@ -76,20 +76,20 @@
     return PrefixChain.of(scope, prompt);
   }
 
-  /** Finds the tenant of a key and the route of a request's labels. */
+  /** Finds the tenant of an API key and the route that matches the labels of a request. */
   @Benchmark
   public Optional<Route> tenantAndRoute() {
     policies.tenantOfKey("key-1");
     return policies.routeOf(labels);
   }
 
-  /** Looks the prefix up and chooses an engine. */
+  /** Looks up the prefix and chooses an engine; includes finding the route. */
   @Benchmark
   public Optional<Placement> choice() {
     return choose(chain, policies.routeOf(labels).orElseThrow());
   }
 
-  /** Everything together. */
+  /** Makes a complete decision: tenant, route, hashes of the prompt and choice of the engine. */
   @Benchmark
   public Optional<Placement> wholeDecision() {
     policies.tenantOfKey("key-1");
@@ -110,7 +110,7 @@
     return EngineChooser.choose(request, prefixes.match(prefix, 1), engines, policies, "zone-1", 1);
   }
 
-  /** Parses the whole configuration, as every change makes each node do. */
+  /** Parses the complete configuration, as each node does on every change. */
   @Benchmark
   public PolicySet configurationChange() {
     return PolicyParser.parse(LargeDeployment.configuration(), problem -> {});
--- a/benchmarks/src/main/java/org/lockdale/benchmarks/LargeDeployment.java
+++ b/benchmarks/src/main/java/org/lockdale/benchmarks/LargeDeployment.java
@@ -17,7 +17,10 @@
 import org.lockdale.router.engine.EngineView;
 import org.lockdale.router.policy.PolicySet;
 
-/** A deployment of the size of the two-year aim: 540 tenants, 7 models, 14 zones, 1,100 engines. */
+/**
+ * Configuration and engines of the size that the router is to support within two years: 540
+ * tenants, 7 models, 14 zones and 1,100 engines.
+ */
 final class LargeDeployment {
 
   static final int TENANTS = 540;
