--- a/cli/src/main/java/org/lockdale/cli/ExitStatus.java
+++ b/cli/src/main/java/org/lockdale/cli/ExitStatus.java
@@ -9,7 +9,7 @@
   /** The command ran with a negative result, such as a failed check, or a request was rejected. */
   static final int FAILED = 1;
 
-  /** The arguments or settings are invalid, or a port could not be bound. */
+  /** Invalid arguments or settings, or a port that could not be bound; nothing was started. */
   static final int USAGE = 2;
 
   private ExitStatus() {}
--- a/cli/src/main/java/org/lockdale/cli/LocalCluster.java
+++ b/cli/src/main/java/org/lockdale/cli/LocalCluster.java
@@ -61,7 +61,7 @@
   /**
    * Starts a deployment and waits until all its nodes serve.
    *
-   * @throws OperatorException if they don't within 30 s
+   * @throws OperatorException if they do not serve within 30 s
    */
   static LocalCluster start(Deployment deployment, long seed) throws InterruptedException {
     return start(deployment, seed, Map.of());
--- a/cli/src/main/java/org/lockdale/cli/OperatorClient.java
+++ b/cli/src/main/java/org/lockdale/cli/OperatorClient.java
@@ -53,7 +53,7 @@
    * Submits an edit of the configuration.
    *
    * @return the version under which the edit was accepted
-   * @throws OperatorException if the node rejects the edit or is unreachable
+   * @throws OperatorException if the node rejects the edit or does not respond
    */
   long edit(long baseVersion, List<JsonNode> resources, List<JsonNode> deletions, boolean dryRun) {
     ObjectNode edit =
@@ -77,7 +77,7 @@
       throw new OperatorException(
           "The node at "
               + Addresses.format(options.node)
-              + " is unreachable ("
+              + " did not respond ("
               + unreachable.getCause().getMessage()
               + "); check that it runs and give its operators' address with --node.");
     }
--- a/cli/src/test/java/org/lockdale/cli/FaultInjector.java
+++ b/cli/src/test/java/org/lockdale/cli/FaultInjector.java
@@ -23,7 +23,10 @@
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
   }
 
-  /** Injects a number of faults one after the other, with pauses of 200 to 500 ms. */
+  /**
+   * Injects a number of faults one after the other. Freezes, faults of the platform and restarts of
+   * nodes have ended when the next fault starts.
+   */
   void run(int faults) throws InterruptedException {
     for (int fault = 0; fault < faults; fault++) {
       injectNext();
--- a/cli/src/test/java/org/lockdale/cli/StrangerTest.java
+++ b/cli/src/test/java/org/lockdale/cli/StrangerTest.java
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Sends a join and a configuration pull and waits until both are written, so that the messages of
-   * the stranger are sent before those of the friend.
+   * Sends a join and a configuration pull on the event loop and waits for it, so that the messages
+   * of the stranger are sent before those of the friend.
    */
   private static void sendJoinAndPull(
       EventLoopGroup group, PeerTransport transport, String id, RouterNode node) {
