--- a/experiments/src/main/java/org/lockdale/experiments/PlacementSimulation.java
+++ b/experiments/src/main/java/org/lockdale/experiments/PlacementSimulation.java
@@ -139,12 +139,12 @@
             tokens,
             request.maxTokens(),
             isPatient ? PATIENT_PRIORITY : URGENT_PRIORITY);
-    LatencyRecorder answer =
-        new LatencyRecorder(node, engine, chain, hopMillis, isPatient ? patient : urgent);
+    AttemptListener listener =
+        new AttemptListener(node, engine, chain, hopMillis, isPatient ? patient : urgent);
     time.schedule(
         (long) (hopMillis * MICROS_PER_MILLI),
         () -> {
-          if (!engine.submit(submitted, answer)) {
+          if (!engine.submit(submitted, listener)) {
             refused += isMeasuring() ? 1 : 0;
           }
         });
@@ -159,7 +159,8 @@
     }
   }
 
-  private final class LatencyRecorder implements EngineOutput {
+  /** Records the first token of one attempt and updates the view of its node at the end. */
+  private final class AttemptListener implements EngineOutput {
     private final SimulatedNodeView node;
     private final SimulatedEngine engine;
     private final PrefixChain chain;
@@ -167,7 +168,7 @@
     private final Histogram histogram;
     private final long arrivedMicros = time.nowMicros();
 
-    LatencyRecorder(
+    AttemptListener(
         SimulatedNodeView node,
         SimulatedEngine engine,
         PrefixChain chain,
