--- a/gateway/src/main/java/org/lockdale/gateway/node/GatewaySettings.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/GatewaySettings.java
@@ -40,7 +40,7 @@
           "name",
           "",
           "lower-case letters, digits, dots, hyphens",
-          "Zone this node stands in, as named in the records of back ends.",
+          "Zone in which this node runs, as named in the records of backends.",
           ValueParsers.name());
 
   /** Bandwidth of this node's link, in megabits per second. */
@@ -50,8 +50,8 @@
           "number",
           "0",
           "0 to 1000000",
-          "Bandwidth of this node's link in megabits a second; nodes with the most are preferred as"
-              + " relays.",
+          "Bandwidth of this node's link in megabits per second; nodes with the highest are"
+              + " preferred as relays.",
           GatewaySettings::count);
 
   /** Time after a start or an interruption at which every time bound applies to this node again. */
@@ -59,8 +59,8 @@
       duration(
           "node.catch-up",
           "3s",
-          "Time after its start, or after a break, from which this node is held to every bound of"
-              + " time; what it finds then may be older than it can tell.");
+          "Time after a start or an interruption at which every time bound applies to this node"
+              + " again; changes that it reads at first may be older than it can determine.");
 
   /** Number of event loops that serve connections. */
   public static final Setting<Integer> THREADS =
@@ -69,7 +69,7 @@
           "integer",
           "1",
           "1 to 256",
-          "Event loops that serve callers and back ends; one for each core.",
+          "Number of event loops that serve callers and backends; one for each core.",
           ValueParsers.integer(1, 256));
 
   /** Maximum number of files that the process may have open. */
@@ -79,8 +79,8 @@
           "integer",
           "16384",
           "16 to 1000000",
-          "Files that the process may have open. Callers get half of them, since a request may need"
-              + " a connection to a back end as well.",
+          "Maximum number of files that the process may have open. Callers get half of them, since"
+              + " a request may also need a connection to a backend.",
           ValueParsers.integer(16, MAX_COUNT));
 
   /** Address on which callers are served. */
@@ -92,41 +92,41 @@
       duration(
           "callers.start-wait",
           "800ms",
-          "Longest time for which a request waits for a node that has just started and has not read"
-              + " configuration and back ends yet; it is refused as not run after that.");
+          "Longest time for which a request waits on a node that has just started and has not yet"
+              + " read the configuration and the backends; after that it is rejected as not run.");
 
   /** Address on which readiness checks are answered. */
   public static final Setting<InetSocketAddress> READINESS_ADDRESS =
-      address("readiness.address", "Address on which the node tells whether it serves.");
+      address("readiness.address", "Address on which the node responds to readiness checks.");
 
   /** Address on which other nodes are served, by UDP and TCP. */
   public static final Setting<InetSocketAddress> PEERS_ADDRESS =
-      address("peers.address", "Address on which other nodes are heard, by UDP and TCP.");
+      address("peers.address", "Address on which other nodes are served, by UDP and TCP.");
 
   /** Address of the shared store. */
   public static final Setting<InetSocketAddress> STORE_ADDRESS =
-      address("store.address", "Address of the store with configuration and back ends.");
+      address("store.address", "Address of the store with the configuration and the backends.");
 
   /** Longest time for which the store holds a call that polls for changes. */
   public static final Setting<Duration> STORE_WAIT =
       duration(
           "store.wait",
           "1s",
-          "How long the store holds a call while nothing changes; each answer proves that the"
-              + " configuration is current.");
+          "Longest time for which the store holds a call while nothing changes; each response"
+              + " proves that the configuration is current.");
 
   /** Timeout of calls to the store, in addition to the time for which the store holds them. */
   public static final Setting<Duration> STORE_TIMEOUT =
-      duration("store.timeout", "800ms", "Longest wait for an answer of the store.");
+      duration("store.timeout", "800ms", "Longest wait for a response of the store.");
 
   /** Longest time for which a revoked API key may still be served. */
   public static final Setting<Duration> KEY_REVOCATION_BOUND =
       duration(
           "keys.revocation-bound",
           "5s",
-          "Longest time for which a revoked key may still be served. Requests with a key are refused"
-              + " once nine tenths of it have passed since the configuration was last proven"
-              + " current.");
+          "Longest time for which a revoked key may still be served. Requests with a key are"
+              + " rejected once nine tenths of it have passed since the configuration was last"
+              + " proven current.");
 
   /** Maximum ratio of repeated sends to requests. */
   public static final Setting<Double> RETRY_RATIO =
@@ -135,8 +135,8 @@
           "number",
           "0.2",
           "0 to 1",
-          "Most repeated sends for each request of all nodes, for each pool and window; nodes keep"
-              + " to three quarters of it.",
+          "Maximum ratio of repeated sends to requests, over all nodes, for each pool and window;"
+              + " nodes keep to three quarters of it.",
           GatewaySettings::share);
 
   /** Repeated sends that are allowed in a window regardless of the number of requests. */
@@ -146,7 +146,7 @@
           "number",
           "50",
           "0 to 1000000",
-          "Repeated sends in a window that all nodes together may make whatever the number of"
+          "Repeated sends that all nodes together may make in a window regardless of the number of"
               + " requests; nodes keep to half of it.",
           GatewaySettings::count);
 
@@ -159,7 +159,7 @@
       duration(
           "tenants.limit-window",
           "8s",
-          "Sliding window in which what the tenants send is counted against their limits.");
+          "Sliding window in which the usage of tenants is counted against their limits.");
 
   /** Fraction of a tenant's limit by which the limit may be exceeded. */
   public static final Setting<Double> LIMITS_OVERSHOOT =
@@ -168,8 +168,8 @@
           "number",
           "0.1",
           "0 to 1",
-          "Part of a tenant's limit that may run beyond it in a window; the room is used while nodes"
-              + " are out of touch, and for requests larger than what is left of the limit.",
+          "Fraction of a tenant's limit by which the limit may be exceeded in a window; used during"
+              + " network partitions, and for requests larger than what remains of the limit.",
           GatewaySettings::share);
 
   /** Amount by which a tenant's limit may be exceeded in addition, regardless of the limit. */
@@ -179,7 +179,7 @@
           "number",
           "0",
           "0 to 1000000000",
-          "What may run beyond a tenant's limit in a window besides, in the unit of the limit.",
+          "Further amount by which a tenant's limit may be exceeded in a window, in its unit.",
           text -> number(text, MAX_AMOUNT));
 
   /** Longest time for which older weights may serve after a new target version was set. */
@@ -187,24 +187,24 @@
       duration(
           "weights.bound",
           "8s",
-          "Longest time after new weights were named in which older ones may serve.");
+          "Longest time for which older weights may serve after a new target version was set.");
 
   /** Minimum time between the orders of two holders of the same lease. */
   public static final Setting<Duration> LEASE_GUARD =
       duration(
-          "lease.guard", "3s", "Least time between the orders of two holders of the same lease.");
+          "lease.guard", "3s", "Minimum time between the orders of two holders of the same lease.");
 
   /** Time for which a request that crashed backends is quarantined. */
   public static final Setting<Duration> QUARANTINE_HOLD =
       duration(
           "quarantine.hold",
           "60m",
-          "How long a request is held back after three back ends have ended under it; then it may be"
-              + " tried again, and is held back at its next end.");
+          "How long a request is quarantined after three backends have crashed while they ran it;"
+              + " then it may be tried again, and is quarantined again at its next crash.");
 
   /** Timeout of connecting to a backend. */
   public static final Setting<Duration> CONNECT_TIMEOUT =
-      duration("backends.connect-timeout", "300ms", "Longest wait for a connection to a back end.");
+      duration("backends.connect-timeout", "300ms", "Longest wait for a connection to a backend.");
 
   /** Time from a stop signal until the process is killed. */
   public static final Setting<Duration> STOP_GRACE =
@@ -306,8 +306,8 @@
     return SettingsReference.toMarkdown(
         "Settings of a gateway node",
         "Written by `lockdale-gateway --settings-reference`; a test keeps it current. Settings"
-            + " stand in one\nYAML file, a `key: value` a line, or in flags `--set key=value`,"
-            + " which win.",
+            + " are given in\none YAML file, one `key: value` per line, or by flags"
+            + " `--set key=value`, which take precedence.",
         ALL);
   }
 
