--- a/gateway/src/main/java/org/lockdale/gateway/node/BackendController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/BackendController.java
@@ -33,7 +33,7 @@
   /**
    * Time after a restore of the store from an older copy during which records may be out of date.
    * Backends rewrite their records within two seconds; until then, the record of a draining backend
-   * may say that it is ready.
+   * may state that it is ready.
    */
   private static final long STALE_RECORDS_MILLIS = 4_000;
 
@@ -105,8 +105,8 @@
   }
 
   /**
-   * Returns the record to use for a backend while records may be out of date. An incarnation whose
-   * earlier record said that it was draining stays draining.
+   * Returns the record to use for a backend while records may be out of date. An incarnation that
+   * its earlier record described as draining stays draining.
    */
   private Backend keepDraining(Backend record, BackendTable before) {
     TrackedBackend known = before.find(record.id());
@@ -141,17 +141,17 @@
   }
 
   /**
-   * Ends an incarnation that another one of the same server has replaced. Its open requests would
-   * otherwise wait for responses that cannot come.
+   * Marks an incarnation as ended if another one of the same server has replaced it. Its open
+   * requests would otherwise wait for responses that cannot come.
    */
-  private static void endIfReplaced(TrackedBackend removed, BackendTable after) {
+  private static void markEndedIfReplaced(TrackedBackend removed, BackendTable after) {
     if (after.resolve(removed.backend().incarnation().server()) != null) {
       removed.markEnded();
     }
   }
 
   /** Returns whether an incarnation is known to have ended although its record still exists. */
-  private boolean isOver(Backend backend) {
+  private boolean hasEnded(Backend backend) {
     TrackedBackend tracked = blackboard.backends().value().find(backend.id());
     return tracked != null && tracked.hasEnded();
   }
@@ -172,7 +172,7 @@
             .map(TrackedBackend::backend)
             .toList();
     long now = time.monotonicMillis();
-    List<Backend> current = incarnations.selectRecords(inConfiguredPools(), this::isOver, now);
+    List<Backend> current = incarnations.selectRecords(inConfiguredPools(), this::hasEnded, now);
     if (now < recordsMayBeStaleUntilMillis) {
       current = current.stream().map(record -> keepDraining(record, before)).toList();
     }
@@ -180,7 +180,7 @@
     markDraining.accept(after);
     scheduleNextPublish(now);
     if (after.sameRecordsAs(before)) {
-      // Rows hold fields that records leave out, such as the time of the backend's last heartbeat.
+      // Rows have fields that records omit, such as the time of the backend's last heartbeat.
       blackboard.backends().publish(before, provenAtMillis);
       return;
     }
@@ -189,7 +189,7 @@
     for (TrackedBackend removed : before.all()) {
       if (after.find(removed.backend().id()) == null) {
         client.forget(removed.backend().address());
-        endIfReplaced(removed, after);
+        markEndedIfReplaced(removed, after);
       }
     }
     Logger.info("event=backends-changed count={}", after.all().size());
--- a/gateway/src/main/java/org/lockdale/gateway/node/ClusterObserver.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/ClusterObserver.java
@@ -23,7 +23,7 @@
   private record VersionedNode(PeerNode node, long rowVersion) {}
 
   private final RowReader<VersionedNode> nodeReader;
-  private final RowReader<RecordedTargetVersions> weightsReader;
+  private final RowReader<RecordedTargetVersions> versionsReader;
   private final RowReader<Suspect> suspectReader;
   private final RowReader<SuspectAttempt> attemptReader;
   private final NodeRegistry nodes;
@@ -42,7 +42,7 @@
     this.nodeReader =
         new RowReader<>(
             row -> table.parseNode(row).map(node -> new VersionedNode(node, row.version())));
-    this.weightsReader = new RowReader<>(table::parseTargetVersions);
+    this.versionsReader = new RowReader<>(table::parseTargetVersions);
     this.suspectReader = new RowReader<>(suspects::readSuspect);
     this.attemptReader = new RowReader<>(suspects::readAttempt);
     this.onSuspects = onSuspects;
@@ -63,7 +63,7 @@
       return;
     }
     nodeReader.read(rows).forEach(read -> nodes.onNodeRow(read.node(), read.rowVersion()));
-    List<RecordedTargetVersions> recorded = weightsReader.read(rows);
+    List<RecordedTargetVersions> recorded = versionsReader.read(rows);
     if (historyReplaced) {
       historyReplaced = false;
       recorder.onHistoryReplaced(recorded);
--- a/gateway/src/main/java/org/lockdale/gateway/node/ClusterServices.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/ClusterServices.java
@@ -46,7 +46,9 @@
 
   private static final long MAINTENANCE_MILLIS = 500;
 
-  /** Covers the time to the next heartbeat, by which a proof is older, and one lost heartbeat. */
+  /**
+   * Allows for the age that a proof reaches until the next heartbeat, and for one lost heartbeat.
+   */
   private static final Duration PROOF_MARGIN = Duration.ofMillis(1_000);
 
   private final EventLoop eventLoop;
@@ -61,12 +63,12 @@
   private final NodeReporter reporter;
   private final PlacementDecider decider;
   private final PlacementClient placements;
-  private final TargetVersionRecorder weightsRecorder;
+  private final TargetVersionRecorder versionRecorder;
   private final OperatorController operators;
   private final BackendController backends;
   private final LimitServices limits;
   private final Quarantine quarantine;
-  private final SuspectListClient suspectCatchUp;
+  private final SuspectListClient suspectList;
   private final IncarnationServices incarnations;
   private final SuspensionLog suspensions;
 
@@ -81,7 +83,7 @@
    * @param backendClient HTTP client for backends; closes its idle connections to removed backends
    * @param meter counts the bytes exchanged with other nodes
    * @param time clock
-   * @param startedAtMillis monotonic time at which the process started
+   * @param startMillis monotonic time at which the process started
    */
   ClusterServices(
       EventLoop eventLoop,
@@ -92,7 +94,7 @@
       HttpClient backendClient,
       TrafficMeter meter,
       Time time,
-      long startedAtMillis) {
+      long startMillis) {
     this.eventLoop = eventLoop;
     this.blackboard = blackboard;
     this.time = time;
@@ -105,16 +107,11 @@
     datagrams = new DatagramExchange(self.id(), self.address(), eventLoop, meter);
     limits =
         new LimitServices(
-            eventLoop,
-            settings,
-            blackboard,
-            limitCluster(self.id(), incarnation),
-            time,
-            startedAtMillis);
+            eventLoop, settings, blackboard, cluster(self.id(), incarnation), time, startMillis);
     StoreClock clock = new StoreClock();
     TableFollower.Sources sources =
         new TableFollower.Sources(protocols.feed(), new TableSliceClient(controlClient), clock);
-    weightsRecorder =
+    versionRecorder =
         new TargetVersionRecorder(
             blackboard.weights(),
             protocols.clusterTable(),
@@ -122,7 +119,7 @@
             this::isCoordinator,
             eventLoop,
             time);
-    operators = operators(settings, protocols, startedAtMillis);
+    operators = operators(settings, protocols, startMillis);
     backends = backends(settings, protocols, backendClient);
     tables = tables(sources, settings, protocols);
     relays = relays(settings, clock, incarnation);
@@ -144,7 +141,7 @@
             quarantineContext(protocols, controlClient),
             blackboard.suspects(),
             settings.get(GatewaySettings.QUARANTINE_HOLD).toMillis());
-    suspectCatchUp =
+    suspectList =
         new SuspectListClient(eventLoop, controlClient, nodes::peers, quarantine::receive);
     incarnations =
         IncarnationServices.of(
@@ -156,12 +153,12 @@
   }
 
   private OperatorController operators(
-      GatewaySettings settings, GatewayProtocols protocols, long startedAtMillis) {
+      GatewaySettings settings, GatewayProtocols protocols, long startMillis) {
     return new OperatorController(
         blackboard,
         protocols.records(),
         time,
-        startedAtMillis,
+        startMillis,
         settings.get(GatewaySettings.WEIGHTS_BOUND),
         settings.get(GatewaySettings.NODE_CATCH_UP),
         // Called only after start(), when all fields are set.
@@ -189,7 +186,7 @@
   }
 
   /** Refers to the relays lazily, since the limits are created before them. */
-  private LimitServices.Cluster limitCluster(String selfId, long incarnation) {
+  private LimitServices.Cluster cluster(String selfId, long incarnation) {
     return new LimitServices.Cluster(
         selfId,
         incarnation,
@@ -261,7 +258,7 @@
             protocols.clusterTable(),
             protocols.suspects(),
             nodes,
-            weightsRecorder,
+            versionRecorder,
             operators,
             this::onSuspectRows);
     return TableFollowers.of(
@@ -291,7 +288,7 @@
             incarnations.monitor()::receive,
             incarnations.announcements()::processBroadcast));
     quarantine.start();
-    suspectCatchUp.start();
+    suspectList.start();
     nodes.start();
     tables.all().forEach(TableFollower::start);
     relays.start();
@@ -304,7 +301,7 @@
   private void maintain() {
     suspensions.tick();
     nodes.refresh();
-    weightsRecorder.tick();
+    versionRecorder.tick();
     peerLoads.expire();
     incarnations.draining().tick(blackboard.backends().value());
     Set<String> engines = new HashSet<>();
--- a/gateway/src/main/java/org/lockdale/gateway/node/GatewayNode.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/GatewayNode.java
@@ -233,9 +233,9 @@
   }
 
   /**
-   * Starts a planned stop. The node reports itself as not ready at once, refuses new requests once
-   * load balancers had time to notice, closes connections as they become idle, and stops once no
-   * request is open or the grace period is nearly over.
+   * Starts a planned stop. The node reports itself as not ready at once, rejects new requests once
+   * load balancers have had time to notice, closes connections as they become idle, and stops once
+   * no request is open or the grace period is nearly over.
    *
    * @return completes when the node has stopped
    */
@@ -273,7 +273,7 @@
   }
 
   /**
-   * Returns whether a planned stop has reached its last phase, in which new requests are refused.
+   * Returns whether a planned stop has reached its last phase, in which new requests are rejected.
    */
   public boolean isDraining() {
     return blackboard.phase().value() == GatewayPhase.DRAINING;
--- a/gateway/src/main/java/org/lockdale/gateway/node/IncarnationServices.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/IncarnationServices.java
@@ -10,8 +10,8 @@
 import org.lockdale.gateway.weights.EngineControl;
 
 /**
- * The services that track the incarnations of backends by their responses and by notices of other
- * nodes.
+ * The services that track the incarnations of backends by their responses and by the messages of
+ * other nodes.
  *
  * @param monitor detects incarnations that have ended
  * @param announcements processes announcements that a backend is draining or requests a backoff
@@ -26,23 +26,24 @@
    * @param eventLoop event loop that runs the services
    * @param engines reads the state of engines
    * @param blackboard shared state of the node
-   * @param notices notifies other nodes
+   * @param broadcaster notifies other nodes
    * @param time clock
    */
   static IncarnationServices of(
       EventLoop eventLoop,
       EngineControl engines,
       GatewayBlackboard blackboard,
-      PeerBroadcaster notices,
+      PeerBroadcaster broadcaster,
       Time time) {
     DrainingBackends drainingBackends =
-        new DrainingBackends(() -> blackboard.backends().value(), notices::broadcastDraining, time);
+        new DrainingBackends(
+            () -> blackboard.backends().value(), broadcaster::broadcastDraining, time);
     return new IncarnationServices(
         new IncarnationMonitor(
             eventLoop,
             engines,
             () -> blackboard.backends().value(),
-            notices::broadcastIncarnationEnd,
+            broadcaster::broadcastIncarnationEnd,
             time),
         new BackendAnnouncements(drainingBackends, time),
         drainingBackends);
--- a/gateway/src/main/java/org/lockdale/gateway/node/LimitServices.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/LimitServices.java
@@ -38,7 +38,7 @@
    * @param selfId id of this node
    * @param incarnation random number that distinguishes this process from earlier ones of the same
    *     node
-   * @param datagrams sends and receives questions and loans
+   * @param datagrams sends and receives queries and loans
    * @param limitRelays supplies the ids of the relays that may decide on limits, the most senior
    *     first
    * @param onUnresponsive receives the id of a relay that no longer responds
--- a/gateway/src/main/java/org/lockdale/gateway/node/TableFollowers.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/TableFollowers.java
@@ -9,15 +9,16 @@
 /**
  * The followers of the tables that a node copies.
  *
- * @param operators table that operators write; API keys are trusted on the strength of its proofs
+ * @param operators table that operators write; API keys are accepted only while its proofs are
+ *     recent
  * @param backends table that backends write
  * @param cluster table that the nodes write
  */
 record TableFollowers(TableFollower operators, TableFollower backends, TableFollower cluster) {
 
   /**
-   * The proofs of the other two tables authorize no keys, so their polls wait longer by this
-   * factor.
+   * Polls of the other two tables wait longer by this factor, since no API key depends on their
+   * proofs.
    */
   private static final int RELAXED_WAIT_FACTOR = 2;
 
--- a/gateway/src/main/java/org/lockdale/gateway/node/TargetVersionRecorder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/TargetVersionRecorder.java
@@ -79,11 +79,11 @@
     long now = time.monotonicMillis();
     TreeMap<Long, Long> known = recordedOf(row.model());
     List<TargetVersion> versions = new ArrayList<>();
-    for (RecordedTargetVersions.Entry naming : row.entries()) {
-      known.put(naming.version(), naming.notBeforeStoreMillis());
+    for (RecordedTargetVersions.Entry entry : row.entries()) {
+      known.put(entry.version(), entry.notBeforeStoreMillis());
       // A version can't have been set after it was read, whatever time the writer recorded.
-      long notBefore = Math.min(now, clock.localMillis(naming.notBeforeStoreMillis()));
-      versions.add(new TargetVersion(naming.version(), notBefore, false));
+      long notBefore = Math.min(now, clock.localMillis(entry.notBeforeStoreMillis()));
+      versions.add(new TargetVersion(entry.version(), notBefore, false));
     }
     return versions;
   }
@@ -99,9 +99,9 @@
         row ->
             row.entries()
                 .forEach(
-                    naming ->
+                    entry ->
                         recordedOf(row.model())
-                            .put(naming.version(), naming.notBeforeStoreMillis())));
+                            .put(entry.version(), entry.notBeforeStoreMillis())));
   }
 
   private TreeMap<Long, Long> recordedOf(String model) {
@@ -133,12 +133,12 @@
     while (times.size() > MAX_RECORDED) {
       times.pollFirstEntry();
     }
-    List<RecordedTargetVersions.Entry> namings = new ArrayList<>();
+    List<RecordedTargetVersions.Entry> entries = new ArrayList<>();
     times.forEach(
-        (version, store) -> namings.add(new RecordedTargetVersions.Entry(version, store)));
+        (version, store) -> entries.add(new RecordedTargetVersions.Entry(version, store)));
     writing.add(model);
     table
-        .writeTargetVersions(new RecordedTargetVersions(model, namings))
+        .writeTargetVersions(new RecordedTargetVersions(model, entries))
         .whenCompleteAsync((done, failure) -> onWritten(model, times, failure), eventLoop);
   }
 
--- a/gateway/src/test/java/org/lockdale/gateway/node/ExpiredBackendsTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/node/ExpiredBackendsTest.java
@@ -23,9 +23,9 @@
   private final Backend one = backend("i-1", false);
   private final Backend two = backend("i-2", false);
 
-  private static Backend backend(String id, boolean leaving) {
+  private static Backend backend(String id, boolean draining) {
     InetSocketAddress address = InetSocketAddress.createUnresolved("server", 1);
-    return new Backend(id, "pool", address, "zone-a", 4, leaving, Map.of());
+    return new Backend(id, "pool", address, "zone-a", 4, draining, Map.of());
   }
 
   private static Set<String> ids(List<Backend> backends) {
@@ -108,8 +108,8 @@
 
   @Test
   public void aDrainingBackendIsNotRetained() {
-    Backend leaving = backend("i-3", true);
-    assertEquals(merge(afterAnOutage(), List.of(leaving), List.of(), BACK_AT), List.of());
+    Backend draining = backend("i-3", true);
+    assertEquals(merge(afterAnOutage(), List.of(draining), List.of(), BACK_AT), List.of());
   }
 
   @Test
@@ -124,10 +124,10 @@
   /** A server that restarted during the outage has the same server id and a new start time. */
   @Test
   public void anEarlierIncarnationIsNotRetainedBesideTheNextOne() {
-    Backend former = backend("i-1@100", false);
+    Backend earlier = backend("i-1@100", false);
     Backend next = backend("i-1@200", false);
     List<Backend> merged =
-        afterAnOutage().merge(List.of(former), List.of(next), Set.of("i-1"), BACK_AT);
+        afterAnOutage().merge(List.of(earlier), List.of(next), Set.of("i-1"), BACK_AT);
     assertEquals(ids(merged), Set.of("i-1@200"));
   }
 
--- a/gateway/src/test/java/org/lockdale/gateway/node/SuspensionTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/node/SuspensionTest.java
@@ -75,8 +75,8 @@
   @Test
   public void aProofOfTheStoresClockIsNotDatedTooLate() {
     StoreClock clock = new StoreClock();
-    long asked = time.monotonicMillis();
-    clock.observe(STORE_AHEAD_MILLIS, asked);
+    long requestedAt = time.monotonicMillis();
+    clock.observe(STORE_AHEAD_MILLIS, requestedAt);
     long now = wake();
     assertTrue(now - clock.localMillis(STORE_AHEAD_MILLIS) >= SUSPENDED_MILLIS);
     // The store's clock kept running, so later responses agree with the earlier offset.
@@ -104,8 +104,8 @@
 
   @Test
   public void theIdleTimeOfAConnectionExcludesTheSuspension() {
-    long heard = time.steadyMillis();
+    long receivedAt = time.steadyMillis();
     wake();
-    assertEquals(time.steadyMillis() - heard, 1);
+    assertEquals(time.steadyMillis() - receivedAt, 1);
   }
 }
