--- a/gateway/src/main/java/org/lockdale/gateway/life/IncarnationMonitor.java
+++ b/gateway/src/main/java/org/lockdale/gateway/life/IncarnationMonitor.java
@@ -17,26 +17,26 @@
 import org.tinylog.Logger;
 
 /**
- * Detects from answers that an incarnation of a backend is over, and notifies all nodes. The record
- * of a crashed backend exists for seconds; while its address is in use again, each request sent
- * there costs a round trip and is rejected.
+ * Detects from responses that an incarnation of a backend has ended, and notifies all nodes. The
+ * record of a crashed backend exists for seconds; if its address is in use again in that time, each
+ * request sent there costs a round trip and is rejected.
  *
- * <p>A rejection of a request as meant for another server proves this if the request only required
- * the instance. If it also required a version of weights, that may be the reason, so the engine is
- * queried for its state, which contains its start time and its weights. Runs on one event loop;
- * rejections may be reported from any thread.
+ * <p>A rejection of a request as meant for another server proves this if the request required only
+ * the instance. If it also required a version of weights, that may be the reason for the rejection,
+ * so the engine is queried for its state, which contains its start time and its weights. Runs on
+ * one event loop; rejections may be reported from any thread.
  */
 public final class IncarnationMonitor {
 
   /**
-   * Least time in milliseconds between two queries of an engine. Its state is some hundred
+   * Minimum time in milliseconds between two queries of an engine. Its state is some hundred
    * milliseconds old, so an earlier query would return nothing new; each query costs as much as a
    * probe.
    */
   private static final long QUERY_INTERVAL_MILLIS = 500;
 
   /**
-   * Greatest number of engines whose last query is remembered; a wave of crashes affects about
+   * Maximum number of engines whose last query is remembered; a wave of crashes affects about
    * twenty at once.
    */
   private static final int MAX_REMEMBERED_QUERIES = 256;
@@ -54,7 +54,7 @@
    * @param eventLoop runs it
    * @param engines queries engines for their state
    * @param backends backends that have a record
-   * @param notifyOthers notifies all other nodes that an incarnation is over, by its text form
+   * @param notifyOthers notifies all other nodes that an incarnation has ended, by its text form
    * @param time clock
    */
   public IncarnationMonitor(
@@ -71,9 +71,10 @@
   }
 
   /**
-   * Reports that a request was rejected as not meant for the server that answered; from any thread.
+   * Reports that a request was rejected as not meant for the server that received it; from any
+   * thread.
    *
-   * @param target backend that was meant
+   * @param target backend that the request was meant for
    * @param model model of the request, or null if it has none
    * @param weights version of weights that was also required, or null if only the instance was
    */
@@ -81,7 +82,7 @@
     eventLoop.execute(
         () -> {
           if (model == null || weights == null) {
-            markOver(target, "misdirected");
+            markEnded(target, "misdirected");
           } else {
             queryState(target, model);
           }
@@ -89,10 +90,11 @@
   }
 
   /**
-   * Reports that another incarnation answers in place of a backend; to be called on the event loop.
+   * Reports that another incarnation responds in place of a backend; to be called on the event
+   * loop.
    */
   public void replaced(TrackedBackend target) {
-    markOver(target, "replaced");
+    markEnded(target, "replaced");
   }
 
   private void queryState(TrackedBackend target, String model) {
@@ -118,15 +120,15 @@
       @Nullable EngineState state,
       @Nullable Throwable failure) {
     if (failure != null && Failures.causeOf(failure) instanceof ReplacedEngineException) {
-      markOver(target, "replaced");
+      markEnded(target, "replaced");
     } else if (state != null && !state.isOf(target.backend())) {
-      markOver(target, "another-start");
+      markEnded(target, "another-start");
     } else if (state != null && state.weights().containsKey(model)) {
       target.correctWeights(model, state.weights().get(model));
     }
   }
 
-  private void markOver(TrackedBackend target, String evidence) {
+  private void markEnded(TrackedBackend target, String evidence) {
     if (target.markEnded()) {
       String id = target.backend().id();
       Logger.info("event=life-over backend={} evidence={}", id, evidence);
@@ -135,8 +137,8 @@
   }
 
   /**
-   * Processes incarnations that another node reports to be over, by their text forms; to be called
-   * on the event loop.
+   * Processes incarnations that another node reports to have ended, by their text forms; to be
+   * called on the event loop.
    */
   public void receive(List<String> incarnations) {
     BackendTable table = backends.get();
--- a/gateway/src/main/java/org/lockdale/gateway/life/IncarnationOrder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/life/IncarnationOrder.java
@@ -9,13 +9,13 @@
 import org.lockdale.gateway.backend.Backend;
 
 /**
- * Decides which incarnation of a server to go on with when its record changes. A write of an
- * earlier incarnation may take effect seconds late, after the first write of the next one; if it
- * were accepted, it would restore a backend that is gone and discard what is known of the one that
- * serves. So a record with an earlier start time changes nothing, with two exceptions, since the
- * clock of a server may have been set back between two incarnations: the later incarnation is known
- * to be over, or the record has existed for longer than the server takes to write again. A state
- * machine without I/O; not safe for use by several threads.
+ * Decides which incarnation of a server to use when its record changes. A write of an earlier
+ * incarnation may take effect seconds late, after the first write of the next one; if it were
+ * accepted, it would restore a backend that is gone and discard the state of the one that serves.
+ * So a record with an earlier start time changes nothing, with two exceptions, since the clock of a
+ * server may have been set back between two incarnations: the later incarnation is known to have
+ * ended, or the record has existed for longer than the server takes to write again. A state machine
+ * without I/O; not safe for use by several threads.
  */
 public final class IncarnationOrder {
 
@@ -34,15 +34,15 @@
    * Returns the records to use.
    *
    * @param read records as read now, one per server
-   * @param isOver whether an incarnation is known to be over
+   * @param hasEnded whether an incarnation is known to have ended
    * @param nowMillis monotonic time
    */
   public List<Backend> selectRecords(
-      Collection<Backend> read, Predicate<Backend> isOver, long nowMillis) {
+      Collection<Backend> read, Predicate<Backend> hasEnded, long nowMillis) {
     Map<String, Backend> next = new HashMap<>();
     for (Backend record : read) {
       String server = record.incarnation().server();
-      next.put(server, choose(server, record, isOver, nowMillis));
+      next.put(server, choose(server, record, hasEnded, nowMillis));
     }
     accepted.clear();
     accepted.putAll(next);
@@ -50,10 +50,11 @@
     return new ArrayList<>(next.values());
   }
 
-  private Backend choose(String server, Backend record, Predicate<Backend> isOver, long nowMillis) {
+  private Backend choose(
+      String server, Backend record, Predicate<Backend> hasEnded, long nowMillis) {
     Backend known = accepted.get(server);
     boolean earlier = known != null && record.incarnation().isBefore(known.incarnation());
-    if (!earlier || isOver.test(known)) {
+    if (!earlier || hasEnded.test(known)) {
       earlierRecordSince.remove(server);
       return record;
     }
--- a/gateway/src/main/java/org/lockdale/gateway/life/LivenessEvidence.java
+++ b/gateway/src/main/java/org/lockdale/gateway/life/LivenessEvidence.java
@@ -7,13 +7,13 @@
 
 /**
  * Determines until when an incarnation of a backend is known to have been alive. The next
- * incarnation of its server may listen at the same address before its record is read, and answers
- * under the same id; so an answer shows that some incarnation is alive, but not which.
+ * incarnation of its server may listen at the same address before its record is read, and responds
+ * under the same id; so a response shows that some incarnation is alive, but not which.
  *
  * <p>If a record still exists long after a moment, in a table that was current throughout, its
  * incarnation was alive at that moment: the record of a crashed incarnation expires or is replaced.
- * A connection that had been established by such a moment leads to that incarnation, and answers
- * over it are its answers.
+ * A connection that had been established by such a moment leads to that incarnation, and responses
+ * over it are its responses.
  */
 public final class LivenessEvidence {
 
@@ -26,8 +26,8 @@
   public static final long RECORD_EXPIRY_MILLIS = 10_000;
 
   /**
-   * Longest time between two readings without an outage: a request for changes is answered after
-   * two seconds if nothing changes.
+   * Longest time between two readings without an outage: the store responds to a request for
+   * changes after two seconds if nothing changes.
    */
   private static final long GAP_MILLIS = 3_000;
 
@@ -41,7 +41,8 @@
   /**
    * Creates the evidence.
    *
-   * @param backends backends that have a record, and when that was last known to be current
+   * @param backends backends that have a record, and the time at which that was last known to be
+   *     current
    */
   public LivenessEvidence(Supplier<Snapshot<BackendTable>> backends) {
     this.backends = backends;
@@ -60,7 +61,7 @@
   }
 
   /**
-   * Reports that an answer has begun; from any thread.
+   * Reports that a response has started; from any thread.
    *
    * @param target incarnation that the attempt was meant for
    * @param connectedAtMillis monotonic time at which its connection was established
@@ -78,7 +79,7 @@
 
   /**
    * Returns the latest monotonic time at which an incarnation is known to have been alive, by its
-   * record or its answers; a time in the distant past if nothing shows it.
+   * record or its responses; a time in the distant past if nothing shows it.
    */
   public long lastAliveAtMillis(TrackedBackend incarnation) {
     return hasRecord(incarnation)
--- a/gateway/src/main/java/org/lockdale/gateway/life/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/life/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Incarnations of backends: which one a record refers to, and how all nodes learn that one is over.
+ * Incarnations of backends: which one a record refers to, and how all nodes learn that one has
+ * ended.
  */
 @NullMarked
 package org.lockdale.gateway.life;
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/AttemptJournal.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/AttemptJournal.java
@@ -18,25 +18,28 @@
 /**
  * Records in the shared store to which backends suspect requests are being sent. If a node is
  * killed before it learns the outcome of an attempt, its row remains; once that incarnation of the
- * backend is known to be over, it counts as a crash under the request. Runs on one event loop.
+ * backend is known to have ended, it counts as a crash under the request. Runs on one event loop.
  */
 final class AttemptJournal {
 
-  /** Attempts of this node that are recorded at once; further ones are not recorded. */
+  /**
+   * Maximum number of attempts of this node that are recorded at the same time; further ones are
+   * not recorded.
+   */
   private static final int MAX_IN_FLIGHT = 32;
 
   /**
-   * How long the row of a lost attempt is kept: it may have been running when its backend crashed,
-   * and whether the backend crashed is known by then.
+   * How long the row of a lost attempt is kept. It may have been running when its backend crashed;
+   * after this time it is known whether the backend crashed.
    */
   private static final long UNCERTAIN_RETENTION_MILLIS = 10_000;
 
-  /** How long a row is kept whose node does not remove it. */
+  /** How long a row is kept if its node does not remove it. */
   private static final long ORPHAN_RETENTION_MILLIS = 30_000;
 
   /**
-   * An incarnation is over if neither a record of it nor one of a later incarnation has been read
-   * for this long.
+   * An incarnation counts as ended if neither a record of it nor one of a later incarnation has
+   * been read for this long.
    */
   private static final long MISSING_RECORD_MILLIS = 5_000;
 
@@ -65,7 +68,7 @@
   }
 
   /** Records that an attempt is about to be sent. */
-  void begin(SuspectAttempt attempt) {
+  void recordStart(SuspectAttempt attempt) {
     if (inFlight.size() >= MAX_IN_FLIGHT && !inFlight.containsKey(attempt)) {
       return;
     }
@@ -80,7 +83,7 @@
    *
    * @param uncertain whether its backend may have crashed because of it
    */
-  void conclude(SuspectAttempt attempt, boolean uncertain) {
+  void recordConclusion(SuspectAttempt attempt, boolean uncertain) {
     if (!inFlight.containsKey(attempt)) {
       return;
     }
@@ -106,7 +109,7 @@
 
   /**
    * Returns attempts of other nodes, or of this one before it restarted, that have not been
-   * concluded and whose backends are over, each attempt once; to be called periodically.
+   * concluded and whose backends have ended, each attempt once; to be called periodically.
    *
    * @param backends backends that have a record
    */
@@ -114,7 +117,7 @@
     List<SuspectAttempt> crashed = new ArrayList<>();
     for (Map.Entry<SuspectAttempt, Long> each : firstReadAt.entrySet()) {
       boolean unreported = !reported.contains(each.getKey());
-      if (unreported && isOver(each.getKey().backend(), backends, each.getValue())) {
+      if (unreported && hasEnded(each.getKey().backend(), backends, each.getValue())) {
         reported.add(each.getKey());
         crashed.add(each.getKey());
       }
@@ -122,7 +125,7 @@
     return crashed;
   }
 
-  private boolean isOver(String backendId, BackendTable backends, long firstReadAtMillis) {
+  private boolean hasEnded(String backendId, BackendTable backends, long firstReadAtMillis) {
     TrackedBackend tracked = backends.find(backendId);
     if (tracked != null) {
       return tracked.hasEnded();
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashDetector.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashDetector.java
@@ -17,7 +17,7 @@
 /**
  * Distinguishes crashed backends from broken connections. A lost attempt is kept until it is known
  * which of the two it was: the address refuses connections, the record is gone or replaced, or the
- * backend answers an attempt that was sent later. A backend that terminated as planned has not
+ * backend responds to an attempt that was sent later. A backend that terminated as planned has not
  * crashed. A state machine without I/O; not safe for use by several threads.
  */
 final class CrashDetector {
@@ -31,9 +31,9 @@
 
   /**
    * An attempt that was given up at most this long before the connections of its backend closed may
-   * have been running at that moment: a loaded server begins an attempt half a second after its
-   * caller has left, and a loaded node reads and handles a closed connection more than a second
-   * late. Records show a crash later still.
+   * have been running at that moment: a loaded server starts an attempt half a second after its
+   * caller has disconnected, and a loaded node reads and handles a closed connection more than a
+   * second late. Records show a crash later still.
    */
   private static final long GIVEN_UP_WINDOW_MILLIS = 3_000;
 
@@ -45,7 +45,8 @@
   private static final long OUTLIVED_MILLIS = 1_000;
 
   /**
-   * Limits the memory that callers who leave in a burst can use; the oldest attempts are dropped.
+   * Limits the memory that a burst of disconnecting callers can use; the oldest attempts are
+   * dropped.
    */
   private static final int MAX_GIVEN_UP = 64;
 
@@ -115,7 +116,7 @@
   /**
    * Returns an attempt with the incarnation that it ran on. A server may restart under its id
    * before its new record is read, and run an attempt that was meant for its previous incarnation:
-   * over a connection that was established since, or with an answer that began after the
+   * over a connection that was established since, or with a response that started after the
    * connections of the previous incarnation had closed. If a crash of the new incarnation were
    * attributed to the previous one, two crashes would count as one.
    *
@@ -131,10 +132,10 @@
     if (present == null || present.backend().id().equals(attempt.backend())) {
       return attempt;
     }
-    boolean beganLater = closed != null && nowMillis - attempt.answerMillis() > closed;
-    boolean answeredThere = beganLater && attempt.answerMillis() != 0;
+    boolean startedLater = closed != null && nowMillis - attempt.answerMillis() > closed;
+    boolean respondedThere = startedLater && attempt.answerMillis() != 0;
     long connectedAtWallMillis = wallMillis - (nowMillis - attempt.connectedAtMillis());
-    return answeredThere || isStartedBefore(present.backend(), connectedAtWallMillis)
+    return respondedThere || isStartedBefore(present.backend(), connectedAtWallMillis)
         ? reassign(present.backend(), attempt)
         : attempt;
   }
@@ -203,7 +204,7 @@
     return Math.max(nowMillis - GIVEN_UP_WINDOW_MILLIS, outlived);
   }
 
-  /** Returns whether another incarnation of the server has a record or answers at its address. */
+  /** Returns whether another incarnation of the server has a record or responds at its address. */
   private static boolean isReplaced(String backend, BackendTable backends) {
     TrackedBackend tracked = backends.find(backend);
     return tracked == null
@@ -252,8 +253,8 @@
   }
 
   /**
-   * Returns whether the fate of any backend, or the incarnation that any attempt ran on, is
-   * unknown.
+   * Returns whether it is unknown if any backend has crashed, or which incarnation any attempt ran
+   * on.
    */
   boolean hasUnresolved() {
     return !pendingByBackend.isEmpty() || !unassigned.isEmpty();
@@ -292,7 +293,7 @@
   }
 
   /**
-   * Checks the unresolved losses against the current records and the answers received since.
+   * Checks the unresolved losses against the current records and the responses received since.
    *
    * @return backends that have crashed
    */
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashEvidence.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashEvidence.java
@@ -6,7 +6,7 @@
   REFUSES_CONNECTIONS,
   /**
    * Its address takes connections and closes them at once, twice in a row; seen within 0.6 s. A
-   * server that has reached its connection limit does the same, so an answer to a later attempt
+   * server that has reached its connection limit does the same, so a response to a later attempt
    * retracts the crash.
    */
   CLOSES_CONNECTIONS,
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashInvolvement.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashInvolvement.java
@@ -4,8 +4,8 @@
  * What the crash of a backend indicates about a request that was running on it. Merging the views
  * of two nodes gives the same result in either order.
  *
- * @param early whether the backend crashed before the answer began, or so shortly after that the
- *     request is a likely cause
+ * @param early whether the backend crashed before its response started, or so shortly after that
+ *     the request is a likely cause
  * @param forgiven whether the crash no longer counts against the request
  */
 public record CrashInvolvement(boolean early, boolean forgiven) {
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/LostAttempt.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/LostAttempt.java
@@ -4,15 +4,15 @@
 import org.lockdale.gateway.caller.CallerRequest;
 
 /**
- * An attempt that ended without an indication from the backend: its connection closed or fell
+ * An attempt that ended without an indication from the backend: its connection was closed or became
  * silent, or this node gave it up.
  *
  * @param backend id of the backend's incarnation
  * @param address address of the backend
  * @param request the request
  * @param caller name of the tenant, or the key where there is none
- * @param answerMillis time in milliseconds for which its answer had been arriving; 0 if it had not
- *     begun
+ * @param answerMillis time in milliseconds for which its response had been arriving; 0 if it had
+ *     not started
  * @param loss how it ended
  * @param connectedAtMillis monotonic time at which the connection that carried it was established
  */
@@ -34,8 +34,8 @@
     /** Nothing arrived for too long, as from an overloaded backend. */
     SILENT,
     /**
-     * This node gave it up because its caller left or its time ran out, so nothing observed what
-     * became of its connection.
+     * This node gave it up because its caller disconnected or its deadline passed, so what became
+     * of its connection was not observed.
      */
     GIVEN_UP
   }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/Quarantine.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/Quarantine.java
@@ -101,7 +101,7 @@
         .scheduleAtFixedRate(this::maintain, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Returns the evidence that backends are alive, to which their answers are reported. */
+  /** Returns the evidence that backends are alive, to which their responses are reported. */
   public LivenessEvidence livenessEvidence() {
     return livenessEvidence;
   }
@@ -126,7 +126,7 @@
     ledger
         .find(attempt.fingerprint())
         .filter(suspect -> suspect.weight() > 0)
-        .ifPresent(suspect -> journal.begin(attempt));
+        .ifPresent(suspect -> journal.recordStart(attempt));
   }
 
   /**
@@ -136,7 +136,7 @@
    * @param uncertain whether it was lost, so that its backend may have crashed because of it
    */
   public void attemptConcluded(SuspectAttempt attempt, boolean uncertain) {
-    context.eventLoop().execute(() -> journal.conclude(attempt, uncertain));
+    context.eventLoop().execute(() -> journal.recordConclusion(attempt, uncertain));
   }
 
   /** Reports a lost attempt; from any thread. */
@@ -155,8 +155,8 @@
   }
 
   /**
-   * Reports that a backend has answered a request successfully, which shows that the request
-   * doesn't crash it; from any thread.
+   * Reports a successful response of a backend, which shows that the request doesn't crash it; from
+   * any thread.
    *
    * @param request the request
    * @param caller name of the tenant, or the key where there is none
@@ -225,9 +225,9 @@
 
   /**
    * Counts a crash against a request. A closed connection counts as a crash of its backend until
-   * the backend is known to be alive. Whether it crashed may be known only seconds later, and to no
-   * node if each one that saw a connection close is killed before: three crashes were lost that
-   * way, and a request was sent four more times.
+   * the backend is known to be alive. Whether it crashed may be known only seconds later, and each
+   * node that saw a connection close may be killed before: three crashes were lost that way, and a
+   * request was sent four more times.
    */
   private void countCrash(String event, LostAttempt lost) {
     RequestFingerprint fingerprint = RequestFingerprint.of(lost.request(), lost.caller());
@@ -258,8 +258,8 @@
     for (Suspect suspect : suspects) {
       changed |= merge(suspect);
       Optional<Suspect> known = ledger.find(suspect.fingerprint());
-      // A node that knows more of a significant suspect broadcasts it, so that no node decides
-      // without it.
+      // A node that knows of more crashes of a significant suspect broadcasts them, so that no
+      // node decides without them.
       if (known.isPresent() && !suspect.includes(known.get()) && isSignificant(suspect)) {
         propagate(known.get());
       }
@@ -277,13 +277,13 @@
    * Returns the suspects with the greatest weights, for a node that has just started; to be called
    * on the event loop.
    *
-   * @param most greatest number of suspects to return
+   * @param max maximum number of suspects to return
    */
-  public List<Suspect> heaviest(int most) {
+  public List<Suspect> heaviest(int max) {
     return ledger.all().stream()
         .filter(suspect -> suspect.weight() > 0)
         .sorted(Comparator.comparingInt(Suspect::weight).reversed())
-        .limit(most)
+        .limit(max)
         .toList();
   }
 
@@ -347,10 +347,7 @@
     }
   }
 
-  /**
-   * Retracts the crashes of backends that are shown to have been alive after these crashes were
-   * learned.
-   */
+  /** Retracts crashes of backends that are known to have been alive later. */
   private boolean retractCrashes(long nowMillis) {
     livenessEvidence.observe();
     boolean changed = false;
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/QuarantineHandler.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/QuarantineHandler.java
@@ -41,10 +41,10 @@
 
   @Override
   public void handle(HttpExchange exchange) {
-    eventLoop.execute(() -> exchange.reply(answer(exchange)));
+    eventLoop.execute(() -> exchange.reply(createReply(exchange)));
   }
 
-  private HttpReply answer(HttpExchange exchange) {
+  private HttpReply createReply(HttpExchange exchange) {
     boolean lists = exchange.path().equals(PATH);
     if (lists && exchange.method().equals(HttpMethod.GET.name())) {
       return HttpReply.text(OK, list());
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/RequestFingerprint.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/RequestFingerprint.java
@@ -10,12 +10,12 @@
 
 /**
  * Identifies requests with the same contents: method, host, path with query, caller and body. Ids,
- * deadlines and resume points, which differ between tries, are not part of it. The caller is part
- * of it, so that no caller can have a request of another one quarantined.
+ * deadlines and resume points, which differ between attempts, are not part of it. The caller is
+ * part of it, so that no caller can have a request of another one quarantined.
  *
- * <p>It is the first half of a SHA-256 digest, so that a request with the fingerprint of another
- * one can't be constructed, without a key that all nodes would have to share. It is computed for
- * few requests only: those that {@link #sketchOf} doesn't distinguish from a suspect.
+ * <p>It is the first half of a SHA-256 digest, so that nobody can construct a request with the
+ * fingerprint of another one. This needs no key that all nodes would have to share. It is computed
+ * for few requests only: those that {@link #sketchOf} doesn't distinguish from a suspect.
  *
  * @param high first 64 bits
  * @param low next 64 bits
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/Suspect.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/Suspect.java
@@ -4,11 +4,11 @@
 import java.util.TreeMap;
 
 /**
- * A request that was running on backends when they crashed. Immutable. What several nodes know of
- * it is merged, and the result doesn't depend on the order, so that all nodes converge.
+ * A request that was running on backends when they crashed. Immutable. The views of several nodes
+ * are merged; the result doesn't depend on the order, so all nodes converge.
  *
  * @param fingerprint the request
- * @param sketch distinguishes it from most other requests without a look at their bodies
+ * @param sketch distinguishes it from most other requests without reading their bodies
  * @param crashes crashes of backends while they ran it, by the id of the incarnation
  */
 public record Suspect(
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectAttempt.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectAttempt.java
@@ -4,7 +4,7 @@
  * An attempt of a request that is suspected of crashing backends.
  *
  * @param fingerprint the request
- * @param sketch distinguishes it from most other requests without a look at their bodies
+ * @param sketch distinguishes it from most other requests without reading their bodies
  * @param backend id of the incarnation that it was sent to
  */
 public record SuspectAttempt(RequestFingerprint fingerprint, int sketch, String backend) {}
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectLedger.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectLedger.java
@@ -15,12 +15,12 @@
  * requests that run on the backend, of which at most one is its cause, so one crash is weak
  * evidence, and the same request at the crashes of several backends is strong evidence.
  *
- * <p>A request is quarantined from its third crash on, if at each its answer had not begun or had
- * begun only shortly before, and from its fifth crash on otherwise, since a crash under an answer
- * that had been arriving for longer counts two thirds. A successful answer clears a request.
- * Crashes that a request shares with a quarantined one count in full: excluding them spared no
- * innocent request in 200 simulated runs of each of six scenarios, and let requests that crash
- * servers together continue.
+ * <p>A request is quarantined from its third crash on, if at each its response had not started or
+ * had started only shortly before, and from its fifth crash on otherwise, since a crash under a
+ * response that had been arriving for longer counts two thirds. A successful response clears a
+ * request. Crashes that a request shares with a quarantined one count in full: excluding them
+ * spared no innocent request in 200 simulated runs of each of six scenarios, and let requests that
+ * crash servers together continue.
  *
  * <p>It addresses requests that crash servers one after another, about one per second, with about
  * twenty other requests on each server. It doesn't address overload, which crashes no server. A
@@ -28,7 +28,9 @@
  */
 final class SuspectLedger {
 
-  /** Weight from which a request is quarantined: that of three crashes before the answer began. */
+  /**
+   * Weight from which a request is quarantined: that of three crashes before the response started.
+   */
   static final int QUARANTINE_WEIGHT = 9;
 
   /**
@@ -47,21 +49,21 @@
   private static final int CROWD_THRESHOLD = 32;
 
   /**
-   * Weight of one such crash. All requests on the backend get it, so it says little about each of
-   * them, but all nodes that know of it may be gone by the next crash.
+   * Weight of one such crash. All requests on the backend get it, so it is weak evidence against
+   * each of them, but all nodes that know of it may have stopped before the next crash.
    */
   static final int SINGLE_CRASH_WEIGHT = 3;
 
   /**
    * Weight of two such crashes, from which a suspect is significant: the next crash may quarantine
-   * it, so all nodes have to know of it by then.
+   * it, so all nodes have to have received it by then.
    */
   static final int SIGNIFICANT_WEIGHT = 6;
 
   /**
-   * Longest time in milliseconds for which an answer had been arriving at an early crash. A request
-   * that had run well for longer is an unlikely cause; in a recorded incident the cause ran for 40
-   * to 80 ms.
+   * Longest time in milliseconds for which a response had been arriving at an early crash. A
+   * request that had run well for longer is an unlikely cause; in a recorded incident the cause ran
+   * for 40 to 80 ms.
    */
   static final long EARLY_MILLIS = 1_000;
 
@@ -74,7 +76,7 @@
     private Suspect suspect;
     private long lastCrashAtMillis;
 
-    /** Monotonic times at which the crashes were learned, by backend id. */
+    /** Monotonic times at which this node learned of the crashes, by backend id. */
     private final Map<String, Long> learnedAt = new HashMap<>();
 
     Entry(Suspect suspect, long nowMillis) {
@@ -159,8 +161,8 @@
   }
 
   /**
-   * Returns the monotonic time at which the latest crash under a request was learned, or a time in
-   * the distant past if the request is unknown.
+   * Returns the monotonic time at which this node learned of the latest crash under a request, or a
+   * time in the distant past if the request is unknown.
    */
   long lastCrashAtMillis(RequestFingerprint fingerprint) {
     Entry entry = entries.get(fingerprint);
@@ -173,7 +175,7 @@
   }
 
   /**
-   * Forgives all crashes of a request that was answered successfully or released.
+   * Forgives all crashes of a request that got a successful response or was released.
    *
    * @return the new state of the suspect; empty if nothing changed
    */
@@ -196,8 +198,8 @@
   }
 
   /**
-   * Records that a backend was alive at a moment. Crashes learned later than that may have happened
-   * since.
+   * Records that a backend was alive at a moment. Crashes that this node learned of later may have
+   * happened since.
    *
    * @return suspects that lose a crash that did not happen
    */
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectRecorder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectRecorder.java
@@ -18,7 +18,7 @@
  * observed a crash records it at once; what no node has recorded after a while is recorded by the
  * coordinating relay node, and later by any node, so that it is recorded once the store is
  * available again, whatever became of the other nodes. Two nodes may overwrite each other's row; a
- * node that finds less in a row than it knows writes it again. Runs on one event loop.
+ * node that finds a row incomplete writes it again. Runs on one event loop.
  */
 final class SuspectRecorder {
 
@@ -29,14 +29,14 @@
   private static final long COORDINATOR_DELAY_MILLIS = 400;
 
   /**
-   * Delay before any other node writes a row. It is less than the three seconds after which nodes
-   * that are connected again must agree, by the time that a reading takes.
+   * Delay before any other node writes a row. Nodes that are connected again must agree within
+   * three seconds; the difference is for reading the table.
    */
   private static final long OTHERS_DELAY_MILLIS = 1_200;
 
   /**
-   * Delay of a retry after a failed write, within which a store that is available again is written
-   * to.
+   * Delay of a retry after a failed write; a store that is available again is written to within
+   * this time.
    */
   private static final long RETRY_MILLIS = 500;
 
@@ -48,7 +48,7 @@
 
   /**
    * Number of rows from which on requests with a single crash are not recorded. Servers crash with
-   * about twenty requests each, of which a few had no answer yet.
+   * about twenty requests each, of which a few had no response yet.
    */
   private static final int MAX_SINGLE_CRASH_ROWS = 32;
 
@@ -189,7 +189,7 @@
   }
 
   /**
-   * Returns whether a retracted single crash needs no write of its own; its row is removed with the
+   * Returns whether a retracted single crash needs no separate write; its row is removed with the
    * others that are no longer needed.
    */
   private static boolean needsNoUpdate(Suspect suspect, Suspect row) {
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectSender.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectSender.java
@@ -65,16 +65,16 @@
     }
   }
 
-  private void repeat(Set<RequestFingerprint> fingerprints, long delayMillis, int leastWeight) {
-    eventLoop.schedule(() -> send(fingerprints, leastWeight), delayMillis, TimeUnit.MILLISECONDS);
+  private void repeat(Set<RequestFingerprint> fingerprints, long delayMillis, int minWeight) {
+    eventLoop.schedule(() -> send(fingerprints, minWeight), delayMillis, TimeUnit.MILLISECONDS);
   }
 
-  private void send(Set<RequestFingerprint> fingerprints, int leastWeight) {
+  private void send(Set<RequestFingerprint> fingerprints, int minWeight) {
     List<Suspect> message = new ArrayList<>();
     for (RequestFingerprint fingerprint : fingerprints) {
       ledger
           .find(fingerprint)
-          .filter(suspect -> suspect.weight() >= leastWeight)
+          .filter(suspect -> suspect.weight() >= minWeight)
           .ifPresent(message::add);
       if (message.size() == MAX_IN_MESSAGE) {
         sender.accept(List.copyOf(message));
--- a/gateway/src/test/java/org/lockdale/gateway/life/IncarnationMonitorTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationMonitorTest.java
@@ -24,9 +24,9 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests that the first rejected request shows that an incarnation is over. A backend crashed while
- * it was unreachable, and its address was in use again: for two seconds seven nodes sent about 20
- * requests to its record, each of which was rejected as meant for another server.
+ * Tests that the first rejected request shows that an incarnation has ended. A backend crashed
+ * while it was unreachable, and its address was in use again: for two seconds seven nodes sent
+ * about 20 requests to its record, each of which was rejected as meant for another server.
  */
 public final class IncarnationMonitorTest {
 
@@ -73,8 +73,8 @@
     time.runMillis(1);
   }
 
-  private void answers(EngineState answer) {
-    state.complete(answer);
+  private void completeState(EngineState engineState) {
+    state.complete(engineState);
     time.runMillis(1);
   }
 
@@ -95,7 +95,7 @@
   public void whereWeightsWereRequiredTheStateOfTheEngineDecides() {
     misdirected(5L);
     assertFalse(target.hasEnded(), "the weights may be the reason");
-    answers(stateOf(8L, 5));
+    completeState(stateOf(8L, 5));
     assertTrue(target.hasEnded());
     assertEquals(notified, List.of("i-1@7"));
   }
@@ -109,10 +109,10 @@
   }
 
   @Test
-  public void anEngineThatWasTakenBackToOlderWeightsIsBelieved() {
+  public void olderWeightsThatAnEngineReportsAreAccepted() {
     target.observeWeights(MODEL, 6);
     misdirected(6L);
-    answers(stateOf(7L, 4));
+    completeState(stateOf(7L, 4));
     assertFalse(target.hasEnded());
     assertEquals(target.weightsOf(MODEL), Long.valueOf(4));
     target.observeWeights(MODEL, 6);
@@ -128,7 +128,7 @@
   }
 
   @Test
-  public void manyMisdirectedRequestsAskOnce() {
+  public void manyMisdirectedRequestsCauseOneQuery() {
     for (int request = 0; request < 20; request++) {
       misdirected(5L);
     }
@@ -139,7 +139,7 @@
   }
 
   @Test
-  public void whatOtherNodesFoundOutHoldsForThatLifeOnly() {
+  public void reportsOfOtherNodesApplyToThatIncarnationOnly() {
     monitor.receive(List.of("i-1@6", "i-1", "i-2@7"));
     assertFalse(target.hasEnded());
     monitor.receive(List.of("i-1@7"));
@@ -147,9 +147,9 @@
     assertEquals(notified, List.of(), "the node that detected it has notified all");
   }
 
-  /** The record has moved to another address; what answers at the previous one proves nothing. */
+  /** The record has moved to another address; a response from the previous one proves nothing. */
   @Test
-  public void aLifeThatIsReachedElsewhereGoesOn() {
+  public void anIncarnationThatMovedToAnotherAddressHasNotEnded() {
     misdirected(null);
     InetSocketAddress other = InetSocketAddress.createUnresolved("server", 2);
     table =
--- a/gateway/src/test/java/org/lockdale/gateway/life/IncarnationOrderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationOrderTest.java
@@ -11,7 +11,7 @@
 
 /**
  * Tests that a late write of an earlier incarnation changes nothing, and that a clock that was set
- * back does no lasting harm.
+ * back has no lasting effect.
  */
 public final class IncarnationOrderTest {
 
@@ -27,12 +27,12 @@
     return new Backend(id, "pool", address, "zone", 4, false, Map.of());
   }
 
-  private String accepted(String read, boolean isOver, long nowMillis) {
-    return order.selectRecords(List.of(backend(read)), known -> isOver, nowMillis).get(0).id();
+  private String accepted(String read, boolean hasEnded, long nowMillis) {
+    return order.selectRecords(List.of(backend(read)), known -> hasEnded, nowMillis).get(0).id();
   }
 
   @Test
-  public void aLaterLifeIsTakenAtOnce() {
+  public void aLaterIncarnationIsAcceptedAtOnce() {
     assertEquals(accepted("i@100", false, 0), "i@100");
     assertEquals(accepted("i@200", false, 1), "i@200");
     assertEquals(order.nextDecisionAtMillis(), Long.MAX_VALUE);
@@ -47,13 +47,13 @@
   }
 
   @Test
-  public void aClockThatWasSetBackIsBelievedOnceTheFormerLifeIsKnownToBeOver() {
+  public void anEarlierStartTimeIsAcceptedOnceTheLaterIncarnationHasEnded() {
     accepted("i@200", false, 0);
     assertEquals(accepted("i@100", true, 10), "i@100");
   }
 
   @Test
-  public void aClockThatWasSetBackIsBelievedAfterATime() {
+  public void anEarlierStartTimeIsAcceptedAfterATime() {
     accepted("i@200", false, 0);
     assertEquals(accepted("i@100", false, 10), "i@200");
     long due = order.nextDecisionAtMillis();
@@ -63,7 +63,7 @@
   }
 
   @Test
-  public void aServerThatLeftInBetweenBeginsAnew() {
+  public void anEarlierStartTimeIsAcceptedIfTheRecordWasGoneInBetween() {
     accepted("i@200", false, 0);
     order.selectRecords(List.of(), known -> false, 1);
     assertEquals(accepted("i@100", false, 2), "i@100");
--- a/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulation.java
@@ -23,7 +23,7 @@
  * Simulates nodes that follow engines which restart under their ids every second or two, during
  * rollouts. Clocks of engines jump, nodes are isolated from the store and from each other, and
  * writes of an earlier incarnation take effect late. The order of incarnations, the detection that
- * one is over, and the tracking of weights and work are the production code.
+ * one has ended, and the tracking of weights and work are the production code.
  */
 final class IncarnationSimulation {
 
@@ -49,9 +49,10 @@
    * @param sends requests sent
    * @param misdirected requests that were rejected as meant for another incarnation or version
    * @param newerThanHeld requests that ran without an expected version of weights
-   * @param left times at which a node went back from the serving incarnation to an earlier one
+   * @param left number of times that a node went back from the serving incarnation to an earlier
+   *     one
    * @param wrongAtTheEnd entries in the tables of nodes that are wrong at the end of the run
-   * @param wronglyOver serving incarnations that a node takes to be over at the end of the run
+   * @param wronglyOver serving incarnations that a node takes to have ended at the end of the run
    * @param workLeft incarnations for which a node counts requests though it sent none
    */
   record Result(
@@ -168,7 +169,7 @@
     }
 
     /**
-     * Sends as the request path does: to an incarnation that is not over, expecting the weights
+     * Sends as the request path does: to an incarnation that has not ended, expecting the weights
      * that it holds.
      */
     void send(Engine engine) {
@@ -221,8 +222,8 @@
     random = new Random(seed);
   }
 
-  private long millis(int least, int most) {
-    return (least + random.nextInt(most - least)) * 1_000L;
+  private long millis(int min, int max) {
+    return (min + random.nextInt(max - min)) * 1_000L;
   }
 
   private void write(Backend record) {
--- a/gateway/src/test/java/org/lockdale/gateway/life/LivenessEvidenceTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/LivenessEvidenceTest.java
@@ -46,28 +46,30 @@
     }
   }
 
-  private boolean isShownByAnswer(long connectedAtMillis, long sentAtMillis) {
+  private boolean isShownByResponse(long connectedAtMillis, long sentAtMillis) {
     evidence.answered(target, connectedAtMillis, sentAtMillis);
     return target.lastKnownAliveMillis() == sentAtMillis;
   }
 
   @Test
-  public void anAnswerOverAConnectionThatTheRecordOutlivedShowsThatTheLifeGoesOn() {
+  public void aResponseOverAConnectionThatTheRecordOutlivedShowsThatTheIncarnationIsAlive() {
     publishCurrentRecords(START_MILLIS, START_MILLIS + 20_000);
-    assertTrue(isShownByAnswer(START_MILLIS + 10_000, START_MILLIS + 20_000));
+    assertTrue(isShownByResponse(START_MILLIS + 10_000, START_MILLIS + 20_000));
   }
 
   /**
-   * The answers of the next incarnations made three nodes release a request that had crashed three
-   * servers.
+   * The responses of the next incarnations made three nodes release a request that had crashed
+   * three servers.
    */
   @Test
-  public void anAnswerOverAYoungConnectionMayComeFromTheNextIncarnation() {
+  public void aResponseOverAYoungConnectionMayComeFromTheNextIncarnation() {
     publishCurrentRecords(START_MILLIS, START_MILLIS + 20_000);
-    assertTrue(!isShownByAnswer(START_MILLIS + 10_001, START_MILLIS + 20_000));
+    assertTrue(!isShownByResponse(START_MILLIS + 10_001, START_MILLIS + 20_000));
   }
 
-  /** The record of a crashed server existed for 6 s while the store did not answer for a moment. */
+  /**
+   * The record of a crashed server existed for 6 s while the store did not respond for a moment.
+   */
   @Test
   public void aRecordShowsNothingAboutTheTimeInWhichThatOfACrashedServerMayRemain() {
     publishCurrentRecords(START_MILLIS, START_MILLIS + 20_000);
@@ -80,16 +82,16 @@
     publishCurrentRecords(START_MILLIS, START_MILLIS + 20_000);
     publishCurrentRecords(START_MILLIS + 60_000, START_MILLIS + 68_000);
     assertEquals(evidence.lastAliveAtMillis(target), START_MILLIS + 10_000);
-    assertTrue(!isShownByAnswer(START_MILLIS + 30_000, START_MILLIS + 68_000));
+    assertTrue(!isShownByResponse(START_MILLIS + 30_000, START_MILLIS + 68_000));
     publishCurrentRecords(START_MILLIS + 70_000, START_MILLIS + 72_000);
     assertEquals(evidence.lastAliveAtMillis(target), START_MILLIS + 62_000);
   }
 
   @Test
-  public void nothingIsShownOfALifeThatIsOverOrWhoseRecordIsGone() {
+  public void nothingIsShownOfAnIncarnationThatHasEndedOrWhoseRecordIsGone() {
     publishCurrentRecords(START_MILLIS, START_MILLIS + 20_000);
     target.markEnded();
-    assertTrue(!isShownByAnswer(START_MILLIS, START_MILLIS + 20_000));
+    assertTrue(!isShownByResponse(START_MILLIS, START_MILLIS + 20_000));
     assertTrue(evidence.lastAliveAtMillis(target) < 0);
     backends.publish(BackendTable.EMPTY, START_MILLIS + 20_000);
     assertTrue(evidence.lastAliveAtMillis(TrackedBackend.of(backend("i-1@1"))) < 0);
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/AttemptJournalTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/AttemptJournalTest.java
@@ -81,7 +81,7 @@
    */
   @Test
   public void attemptOfAKilledNodeCountsOnceItsBackendHasALaterIncarnation() {
-    journal.begin(ATTEMPT);
+    journal.recordStart(ATTEMPT);
     AttemptJournal next = new AttemptJournal(rows, Runnable::run, time);
     next.update(rows.present);
     assertEquals(next.takeCrashed(table("i-1@1")), List.of());
@@ -90,7 +90,7 @@
   }
 
   @Test
-  public void anIncarnationWithoutARecordIsOverAfterAWhile() {
+  public void anIncarnationWithoutARecordCountsAsEndedAfterAWhile() {
     journal.update(List.of(ATTEMPT));
     assertEquals(journal.takeCrashed(table("i-2@1")), List.of(), "its record may not be read yet");
     time.runMillis(5_000);
@@ -108,18 +108,18 @@
 
   @Test
   public void aConcludedAttemptLeavesNoRow() {
-    journal.begin(ATTEMPT);
-    journal.begin(ATTEMPT);
-    journal.conclude(ATTEMPT, false);
+    journal.recordStart(ATTEMPT);
+    journal.recordStart(ATTEMPT);
+    journal.recordConclusion(ATTEMPT, false);
     assertEquals(rows.present, List.of(ATTEMPT), "one is still in progress");
-    journal.conclude(ATTEMPT, false);
+    journal.recordConclusion(ATTEMPT, false);
     assertEquals(rows.present, List.of());
   }
 
   @Test
   public void aLostAttemptStaysRecordedUntilItsBackendsFateIsKnown() {
-    journal.begin(ATTEMPT);
-    journal.conclude(ATTEMPT, true);
+    journal.recordStart(ATTEMPT);
+    journal.recordConclusion(ATTEMPT, true);
     tickFor(9_000, false);
     assertEquals(rows.present, List.of(ATTEMPT));
     tickFor(2_000, false);
@@ -128,9 +128,9 @@
 
   @Test
   public void aRowThatTheStoreDidNotRemoveIsRemovedLater() {
-    journal.begin(ATTEMPT);
+    journal.recordStart(ATTEMPT);
     rows.unavailable = true;
-    journal.conclude(ATTEMPT, false);
+    journal.recordConclusion(ATTEMPT, false);
     rows.unavailable = false;
     tickFor(500, false);
     assertEquals(rows.present, List.of());
@@ -147,9 +147,9 @@
   }
 
   @Test
-  public void aNodeKeepsFewAttemptsOnRecord() {
+  public void aNodeRecordsFewAttempts() {
     for (int number = 0; number < 100; number++) {
-      journal.begin(attempt(number));
+      journal.recordStart(attempt(number));
     }
     assertEquals(rows.present.size(), 32);
   }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/CrashDetectorTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/CrashDetectorTest.java
@@ -97,7 +97,7 @@
     assertFalse(detector.hasUnresolved());
   }
 
-  /** A slow node reads late what a backend wrote before it crashed. */
+  /** A slow node reads a response late that the backend sent before it crashed. */
   @Test
   public void anAnswerToAnEarlierAttemptDoesNotRuleOutACrash() {
     lose("r1", 100);
@@ -161,8 +161,8 @@
   }
 
   /**
-   * Without the start time, an answer of the next incarnation would have ruled out the crash of the
-   * previous one.
+   * Without the start time, a response of the next incarnation would have ruled out the crash of
+   * the previous one.
    */
   @Test
   public void theNextIncarnationUnderTheSameIdShowsTheCrash() {
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/CrashWatchTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/CrashWatchTest.java
@@ -19,9 +19,9 @@
 
 /**
  * Tests that closed connections are reported before it is known whether the backend crashed. Behind
- * a proxy the address of a crashed backend accepts connections and closes them. Its crash was known
- * by its record only, 2.4 s later, and to a single node until then; each of three such nodes was
- * killed in that time, and a request was sent once more than is tolerated.
+ * a proxy the address of a crashed backend accepts connections and closes them. The crash was known
+ * only when its record was gone, 2.4 s later, and only a single node had observed it; each of three
+ * such nodes was killed in that time, and a request was sent once more than is tolerated.
  */
 public final class CrashWatchTest {
 
@@ -29,7 +29,7 @@
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 7001);
 
   private final VirtualTime time = new VirtualTime();
-  private Queue<Reachability> answers;
+  private Queue<Reachability> probeResults;
   private List<BackendCrash> crashes;
   private List<String> closed;
   private BackendTable table;
@@ -37,7 +37,7 @@
 
   @BeforeMethod
   public void create() {
-    answers = new ArrayDeque<>();
+    probeResults = new ArrayDeque<>();
     crashes = new ArrayList<>();
     closed = new ArrayList<>();
     table =
@@ -46,7 +46,7 @@
     watch =
         new CrashWatch(
             new VirtualExecutor(time),
-            address -> CompletableFuture.completedFuture(answers.remove()),
+            address -> CompletableFuture.completedFuture(probeResults.remove()),
             () -> table,
             new CrashWatch.Listener() {
               @Override
@@ -63,7 +63,7 @@
   }
 
   private void lose(Reachability... found) {
-    answers.addAll(List.of(found));
+    probeResults.addAll(List.of(found));
     watch.attemptLost(lost("r1", LostAttempt.Loss.CLOSED));
     time.runMillis(100);
   }
@@ -103,7 +103,7 @@
   /** The node that observed it may be killed before it is known whether the backend crashed. */
   @Test
   public void aClosedConnectionIsReportedAtOnce() {
-    answers.add(Reachability.ACCEPTS);
+    probeResults.add(Reachability.ACCEPTS);
     watch.attemptLost(lost("r1", LostAttempt.Loss.CLOSED));
     watch.attemptLost(lost("r2", LostAttempt.Loss.CLOSED));
     time.runMillis(1);
@@ -111,22 +111,22 @@
     time.runMillis(100);
   }
 
-  /** An overloaded backend is silent as well, and takes long to answer again. */
+  /** An overloaded backend is silent as well, and takes long to respond again. */
   @Test
   public void aSilentConnectionIsNotReportedAsClosed() {
-    answers.add(Reachability.ACCEPTS);
+    probeResults.add(Reachability.ACCEPTS);
     watch.attemptLost(lost("r1", LostAttempt.Loss.SILENT));
     time.runMillis(100);
     assertEquals(closed, List.of());
   }
 
   /**
-   * A caller leaves 30 ms after it has sent its request, and 10 ms later the request crashes the
-   * backend; only the connections of other requests show this.
+   * A caller disconnects 30 ms after it has sent its request, and 10 ms later the request crashes
+   * the backend; only the connections of other requests show this.
    */
   @Test
   public void anAttemptGivenUpShortlyBeforeOthersCloseIsLostWithThem() {
-    answers.add(Reachability.REFUSES);
+    probeResults.add(Reachability.REFUSES);
     watch.attemptLost(lost("left", LostAttempt.Loss.GIVEN_UP));
     time.runMillis(500);
     assertEquals(closed, List.of(), "nothing indicates a crash yet");
@@ -138,12 +138,12 @@
   }
 
   /**
-   * A loaded server began the attempt 0.5 s after its caller had left, and the node handled the
-   * closed connection 1.2 s later.
+   * A loaded server started the attempt 0.5 s after its caller had disconnected, and the node
+   * handled the closed connection 1.2 s later.
    */
   @Test
   public void anAttemptGivenUpSecondsBeforeALoadedNodeHandlesTheCloseIsLostWithIt() {
-    answers.add(Reachability.REFUSES);
+    probeResults.add(Reachability.REFUSES);
     watch.attemptLost(lost("left", LostAttempt.Loss.GIVEN_UP));
     time.runMillis(2_400);
     watch.attemptLost(lost("neighbour", LostAttempt.Loss.CLOSED));
@@ -154,7 +154,7 @@
 
   @Test
   public void aGivenUpAttemptThatItsBackendSurvivedIsNotLostWithLaterOnes() {
-    answers.add(Reachability.REFUSES);
+    probeResults.add(Reachability.REFUSES);
     watch.attemptLost(lost("left", LostAttempt.Loss.GIVEN_UP));
     time.runMillis(1_500);
     table.find("i-1@1").recordAlive(time.monotonicMillis());
@@ -166,7 +166,7 @@
 
   @Test
   public void anAttemptGivenUpLongBeforeIsNotLostWithLaterOnes() {
-    answers.add(Reachability.REFUSES);
+    probeResults.add(Reachability.REFUSES);
     watch.attemptLost(lost("left", LostAttempt.Loss.GIVEN_UP));
     time.runMillis(3_500);
     watch.attemptLost(lost("neighbour", LostAttempt.Loss.CLOSED));
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulation.java
@@ -76,11 +76,11 @@
   /**
    * The result of a run.
    *
-   * @param worstLateSends most sends of one request more than {@link #CONTACT_MILLIS} after its
-   *     third crash by nodes that were undisturbed for that time
+   * @param worstLateSends maximum number of sends of one request more than {@link #CONTACT_MILLIS}
+   *     after its third crash by nodes that were undisturbed for that time
    * @param ends crashes of servers
    * @param innocents innocent requests
-   * @param refusedInnocents innocent requests that were refused at least once
+   * @param refusedInnocents innocent requests that were rejected at least once
    * @param lost runs of innocent requests that were lost
    * @param sendsAfterThirdEnd sends more than {@link #LATE_SEND_MILLIS} after the third crash of
    *     their request
@@ -180,10 +180,10 @@
 
     private final Contents contents;
     private final CallerRequest request;
-    private final long begunAtMillis = time.monotonicMillis();
+    private final long startedAtMillis = time.monotonicMillis();
     private final long connectedAtMillis;
     private final Optional<SuspectAttempt> recorded;
-    private final int triesLeft;
+    private final int attemptsLeft;
     private boolean givenUp;
 
     Run(
@@ -192,7 +192,7 @@
         String assumed,
         Contents contents,
         CallerRequest request,
-        int triesLeft) {
+        int attemptsLeft) {
       this.node = node;
       this.server = server;
       this.assumed = assumed;
@@ -200,7 +200,7 @@
       this.recorded = node.quarantine.attemptStarting(request, "tenant", assumed);
       this.contents = contents;
       this.request = request;
-      this.triesLeft = triesLeft;
+      this.attemptsLeft = attemptsLeft;
       server.runs.add(this);
       long micros = contents.guilty ? GUILTY_RUN_MICROS : 50_000 + random.nextInt(3_000_000);
       time.schedule(micros, this::done);
@@ -210,7 +210,7 @@
       }
     }
 
-    /** A server may continue for a moment after the caller has left. */
+    /** A server may continue for a moment after the caller has disconnected. */
     private void giveUp() {
       if (server.runs.contains(this)) {
         givenUp = true;
@@ -221,7 +221,7 @@
                 server.address,
                 request,
                 "tenant",
-                time.monotonicMillis() - begunAtMillis,
+                time.monotonicMillis() - startedAtMillis,
                 LostAttempt.Loss.GIVEN_UP,
                 connectedAtMillis));
         if (!contents.guilty) {
@@ -249,7 +249,7 @@
       if (givenUp) {
         return;
       }
-      long answerMillis = time.monotonicMillis() - begunAtMillis;
+      long answerMillis = time.monotonicMillis() - startedAtMillis;
       recorded.ifPresent(attempt -> node.quarantine.attemptConcluded(attempt, true));
       if (!contents.guilty) {
         lostRuns++;
@@ -264,13 +264,13 @@
               LostAttempt.Loss.CLOSED,
               connectedAtMillis));
       node.avoid(server);
-      if (!contents.guilty && triesLeft > 0) {
-        time.schedule(2_000, () -> send(contents, triesLeft - 1));
+      if (!contents.guilty && attemptsLeft > 0) {
+        time.schedule(2_000, () -> send(contents, attemptsLeft - 1));
       }
     }
   }
 
-  /** A request with all its tries. */
+  /** A request with all its attempts. */
   private final class Contents {
     private final String body;
     private final boolean guilty;
@@ -390,7 +390,7 @@
       avoidedUntil.put(server.address, time.monotonicMillis() + AVOID_MILLIS);
     }
 
-    /** Returns a server to send to, as far as this node knows the servers. */
+    /** Chooses a server among those that this node knows. */
     private Optional<Backend> choose() {
       List<Backend> known =
           servers.all().stream()
@@ -410,7 +410,7 @@
 
     /** Receives the suspects of two other nodes, as a node does over the network when it starts. */
     private void catchUp() {
-      for (int asked = 0; asked < 2; asked++) {
+      for (int request = 0; request < 2; request++) {
         Node other = nodes.get(random.nextInt(nodes.size()));
         Quarantine instance = quarantine;
         time.schedule(
@@ -443,7 +443,7 @@
       Optional.ofNullable(servers.find(run.assumed))
           .ifPresent(
               tracked ->
-                  livenessEvidence.answered(tracked, run.connectedAtMillis, run.begunAtMillis));
+                  livenessEvidence.answered(tracked, run.connectedAtMillis, run.startedAtMillis));
     }
 
     void readServers() {
@@ -519,7 +519,7 @@
   private int ends;
   private int lostRuns;
   private int rowsWritten;
-  private int tries;
+  private int attempts;
 
   QuarantineSimulation(SimulationPlan plan, long seed) {
     this.plan = plan;
@@ -577,22 +577,22 @@
     time.schedule(200_000 + random.nextInt(1_300_000), () -> repeat(guilty));
   }
 
-  private void send(Contents what, int triesLeft) {
+  private void send(Contents what, int attemptsLeft) {
     List<Node> running = nodes.stream().filter(each -> !each.down).toList();
     if (running.isEmpty()) {
       return;
     }
     Node node = running.get(random.nextInt(running.size()));
-    CallerRequest request = Requests.of("r" + ++tries, "/path", what.body);
+    CallerRequest request = Requests.of("r" + ++attempts, "/path", what.body);
     if (node.quarantine.quarantined(request, "tenant").isPresent()) {
       what.refused = true;
       return;
     }
-    node.choose().ifPresent(backend -> send(node, backend, what, request, triesLeft));
+    node.choose().ifPresent(backend -> send(node, backend, what, request, attemptsLeft));
   }
 
   private void send(
-      Node node, Backend assumed, Contents what, CallerRequest request, int triesLeft) {
+      Node node, Backend assumed, Contents what, CallerRequest request, int attemptsLeft) {
     Server server =
         all.stream()
             .filter(each -> each.address.equals(assumed.address()))
@@ -600,12 +600,12 @@
             .orElseThrow();
     if (server.up) {
       what.sent(node);
-      new Run(node, server, assumed.id(), what, request, triesLeft);
+      new Run(node, server, assumed.id(), what, request, attemptsLeft);
       return;
     }
     node.avoid(server);
     if (plan.evidence().addressesTaken()) {
-      // Whatever accepts connections at its address closes them.
+      // The proxy that accepts connections at its address closes them.
       node.quarantine.attemptLost(
           new LostAttempt(
               assumed.id(),
@@ -616,8 +616,8 @@
               LostAttempt.Loss.CLOSED,
               time.monotonicMillis()));
     }
-    if (!what.guilty && triesLeft > 0) {
-      time.schedule(2_000, () -> send(what, triesLeft - 1));
+    if (!what.guilty && attemptsLeft > 0) {
+      time.schedule(2_000, () -> send(what, attemptsLeft - 1));
     }
   }
 
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulationTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulationTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests that guilty requests are stopped and that innocent ones are hardly ever refused, whatever
+ * Tests that guilty requests are stopped and that innocent ones are hardly ever rejected, whatever
  * else crashes servers.
  */
 public final class QuarantineSimulationTest {
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineTest.java
@@ -28,11 +28,12 @@
  * Tests that a request that crashes one server after another is quarantined although no node
  * survives to confirm the crashes. Behind a proxy the address of a crashed server accepted
  * connections, and on a loaded machine it closed them later than a probe waits, so a crash was
- * known by the server's record alone, 2.4 to 6 s later, and to a single node until then. Each such
- * node was killed in that time (of three nodes, 0.1 to 4.3 s after the connection had closed), and
- * the next one knew nothing: the request was sent four to six times after the third crash, in 4 of
- * 12 runs under load. The logs of these nodes contained {@code connection-lost address=ACCEPTS} for
- * each of the crashes, and no {@code backend-ended} before the process was gone.
+ * known only when the server's record was gone, 2.4 to 6 s later, and only a single node had
+ * observed it. Each such node was killed in that time (of three nodes, 0.1 to 4.3 s after the
+ * connection had closed), and the next one did not know of it: the request was sent four to six
+ * times after the third crash, in 4 of 12 runs under load. The logs of these nodes contained {@code
+ * connection-lost address=ACCEPTS} for each of the crashes, and no {@code backend-ended} before the
+ * process was gone.
  */
 public final class QuarantineTest {
 
@@ -137,7 +138,7 @@
 
   /**
    * A server that has reached its connection limit closes further connections at once, as a proxy
-   * does in front of a crashed process; its requests must not be refused for long.
+   * does in front of a crashed process; its requests must not be rejected for long.
    */
   @Test
   public void recordsThatStandShowThatServersWhichCloseConnectionsLive() {
@@ -173,7 +174,8 @@
   }
 
   /**
-   * A connection broke first, and the server crashed later, under the next try of the same request.
+   * A connection broke first, and the server crashed later, under the next attempt of the same
+   * request.
    */
   @Test
   public void aCrashAfterTheBackendWasLastKnownAliveStaysCounted() {
@@ -184,14 +186,14 @@
     assertTrue(isQuarantined(), "the records show only that the first loss was no crash");
   }
 
-  /** Overloaded engines are silent for seconds, and answer no request sooner. */
+  /** Overloaded engines are silent for seconds, and respond to no request sooner. */
   @Test
   public void silenceOfThreeBackendsQuarantinesNothing() {
     loseAtThree(LostAttempt.Loss.SILENT);
     assertFalse(isQuarantined());
   }
 
-  /** If callers leave early, no node observes the outcome of their requests. */
+  /** If callers disconnect early, no node observes the outcome of their requests. */
   @Test
   public void aRequestGivenUpOnThreeBackendsBeforeTheirRecordsAreGoneIsQuarantined() {
     loseAtThree(LostAttempt.Loss.GIVEN_UP);
@@ -213,13 +215,13 @@
   /**
    * A server restarted under its id, and a node that had not read its new record sent the request
    * to the previous incarnation. It ran on the next one and crashed that as well; the crash was
-   * taken for that of the previous incarnation, so two crashes counted as one, were in no row, and
-   * were forgotten when all nodes were killed 1.3 s later. The answer had been arriving for 104 ms
+   * attributed to the previous incarnation, so two crashes counted as one, were recorded in no row,
+   * and were lost when all nodes were killed 1.3 s later. The response had been arriving for 104 ms
    * when the crash was observed, 2.9 s after the connections of the previous incarnation had
    * closed.
    *
-   * <p>The cause: an attempt counted against the incarnation that its node had meant, whichever
-   * incarnation ran it.
+   * <p>The cause: an attempt counted against the incarnation that its node had sent it to,
+   * whichever incarnation ran it.
    */
   @Test
   public void whatRanAtTheNextLifeIsNoPartOfTheFormerOnesEnd() {
@@ -255,8 +257,8 @@
   }
 
   /**
-   * The request crashed the next incarnation before its record was read and before it answered
-   * anything.
+   * The request crashed the next incarnation before its record was read and before it sent any
+   * response.
    */
   @Test
   public void aCrashOfTheNextIncarnationBeforeItsRecordIsReadIsNoPartOfThePreviousCrash() {
@@ -290,7 +292,7 @@
     assertEquals(broadcastCrashes(), Set.of(idOf(0), next));
   }
 
-  /** A proxy accepts connections for a crashed server, and closes them. */
+  /** A proxy accepts connections in place of a crashed server, and closes them. */
   @Test
   public void anAttemptThatReachedNoServerIsNoCrashOfALaterIncarnation() {
     addresses = Reachability.REFUSES;
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/RequestFingerprintTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/RequestFingerprintTest.java
@@ -6,7 +6,7 @@
 
 import org.testng.annotations.Test;
 
-/** Tests which tries count as the same request. */
+/** Tests which attempts count as the same request. */
 public final class RequestFingerprintTest {
 
   private static RequestFingerprint of(String id, String uri, String body, String caller) {
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/SimulationPlan.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/SimulationPlan.java
@@ -48,10 +48,10 @@
    *     of its crash
    * @param resets share of the running requests whose connections break each second while their
    *     servers are alive
-   * @param callersLeave share of the callers that leave before their answer, for guilty requests
-   *     shortly before the crash
+   * @param callersLeave share of the callers that disconnect before their response, for guilty
+   *     requests shortly before the crash
    * @param allKilled share of the crashes after which all nodes are killed within half a second;
-   *     nodes are loaded then and read up to 0.9 s late that connections closed
+   *     nodes are overloaded then and detect closed connections up to 0.9 s late
    */
   record Evidence(
       boolean addressesTaken,
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectLedgerTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectLedgerTest.java
@@ -73,7 +73,7 @@
   }
 
   @Test
-  public void aGoodAnswerClearsIt() {
+  public void aSuccessfulResponseClearsARequest() {
     crashed(1, true, "a", "b");
     assertTrue(ledger.forgive(fingerprint(1)).isPresent());
     crashed(1, true, "c", "d");
@@ -113,7 +113,7 @@
     assertTrue(ledger.recordAlive("c", LATER_MILLIS).isEmpty());
   }
 
-  /** A backend that was alive before its crash was learned may have crashed since. */
+  /** A backend that was alive before its crash was reported may have crashed since. */
   @Test
   public void aCrashLearnedAfterTheBackendWasLastAliveStays() {
     crashed(1, true, "a", "b", "c");
