--- a/gateway/src/main/java/org/lockdale/gateway/cluster/ClusterTable.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/ClusterTable.java
@@ -6,8 +6,9 @@
 import org.lockdale.gateway.table.TableRowChange;
 
 /**
- * Port of the shared table in which the nodes of a deployment publish their addresses and what a
- * node that starts cannot learn otherwise. Futures fail with a table service exception.
+ * Port of the shared table in which the nodes of a deployment publish their addresses and the
+ * information that a starting node cannot get otherwise. Futures fail with a table service
+ * exception.
  */
 public interface ClusterTable {
 
@@ -18,9 +19,10 @@
   CompletableFuture<@Nullable Void> announce(PeerNode node);
 
   /**
-   * Writes when the target versions of a model were set, in place of the earlier row of the model.
+   * Writes the times at which the target versions of a model were set; replaces the earlier row of
+   * the model.
    */
-  CompletableFuture<@Nullable Void> writeTargetVersions(RecordedTargetVersions weights);
+  CompletableFuture<@Nullable Void> writeTargetVersions(RecordedTargetVersions versions);
 
   /**
    * Parses the row with the target versions of a model; empty if the row is of another kind.
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/DatagramDispatcher.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/DatagramDispatcher.java
@@ -27,11 +27,11 @@
  *
  * @param relays receives heartbeats
  * @param reports receives load reports
- * @param responder answers placement questions
+ * @param responder answers placement queries
  * @param limits decides on the limits of tenants for other nodes
- * @param limitClient receives heartbeats and the answers to admission questions
+ * @param limitClient receives heartbeats and the answers to admission queries
  * @param rates keeps requests within the rates of backends
- * @param placements receives the answers to placement questions
+ * @param placements receives the answers to placement queries
  * @param onSuspectReport receives requests during which backends crashed
  * @param onIncarnationsEnded receives the text forms of backend incarnations that have ended
  * @param onDraining receives the id of the sender and the text forms of backend incarnations that
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/DatagramListener.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/DatagramListener.java
@@ -20,16 +20,16 @@
 /** Receives the datagrams of other nodes, on the event loop of their exchange. */
 public interface DatagramListener {
 
-  /** Called when a relay sends a heartbeat, the last of which announces that it retires. */
+  /** Called when a relay sends a heartbeat; the last one announces that it retires. */
   void onHeartbeat(String sender, InetSocketAddress address, RelayHeartbeat heartbeat);
 
   /** Called when a node reports its load. */
   void onReport(String sender, NodeReport report);
 
-  /** Called when a node asks which backend should serve a request. */
+  /** Called when a node queries which backend should serve a request. */
   void onPlacementQuestion(String sender, InetSocketAddress address, PlacementQuestion question);
 
-  /** Called when a relay answers a placement question of this node. */
+  /** Called when a relay answers a placement query of this node. */
   void onPlacementAnswer(String sender, PlacementAnswer answer);
 
   /** Called when a node lends its share of the tenants' limits to this one. */
@@ -41,10 +41,10 @@
   /** Called when a relay returns this node's share of the tenants' limits. */
   void onLimitReleased(String sender, ShareReleased released);
 
-  /** Called when a node asks whether a request is within its tenant's limit. */
+  /** Called when a node queries whether a request is within its tenant's limit. */
   void onAdmissionQuestion(InetSocketAddress address, AdmissionQuestion question);
 
-  /** Called when a relay answers an admission question of this node. */
+  /** Called when a relay answers an admission query of this node. */
   void onAdmissionAnswer(AdmissionAnswer answer);
 
   /** Called when a node reports requests during which backends crashed. */
@@ -57,7 +57,7 @@
   void onRateGrant(String sender, RateGrant grant);
 
   /**
-   * Called when a relay answers a placement question of this node: no backend that could serve the
+   * Called when a relay answers a placement query of this node: no backend that could serve the
    * request accepts more at present.
    */
   void onPlacementDelay(String sender, PlacementDelay delay);
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/HeartbeatSchedule.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/HeartbeatSchedule.java
@@ -4,8 +4,8 @@
 
 /**
  * Decides when a relay sends a heartbeat: at regular intervals, and soon after a change. Each
- * heartbeat with a change makes all other nodes request it, so changes in quick succession go into
- * one heartbeat. Performs no I/O. Not thread-safe.
+ * heartbeat with a change makes all other nodes request that change, so changes in quick succession
+ * go into one heartbeat. Performs no I/O. Not thread-safe.
  */
 final class HeartbeatSchedule {
 
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/LimitClient.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/LimitClient.java
@@ -27,27 +27,29 @@
 import org.tinylog.Logger;
 
 /**
- * Asks the relay that decides on limits whether to admit a request, and lends it this node's share
- * of the limits. If there is no relay, this node decides by its own share. Requests may come from
- * any thread; everything else runs on one event loop.
+ * Queries the relay that decides on limits whether to admit a request, and lends it this node's
+ * share of the limits. If there is no relay, this node decides by its own share. Requests may come
+ * from any thread; everything else runs on one event loop.
  */
 public final class LimitClient implements TenantLimiter {
 
-  /** Most questions for one request: enough to give a relay up and ask the next one. */
-  private static final int MAX_QUESTIONS = 4;
+  /**
+   * Maximum number of queries for one request: enough to give up on one relay and query the next.
+   */
+  private static final int MAX_QUERIES = 4;
 
-  /** Unanswered questions in a row after which a relay is no longer asked. */
-  private static final int MAX_UNANSWERED_QUESTIONS = 3;
+  /** Number of unanswered queries in a row after which a relay is no longer queried. */
+  private static final int MAX_UNANSWERED_QUERIES = 3;
 
   /**
    * Dependencies of a client.
    *
    * @param selfId id of this node
    * @param eventLoop runs the client
-   * @param datagrams sends questions and loans
+   * @param datagrams sends queries and loans
    * @param limitRelays supplies the ids of the relays that may decide, the most senior first; this
    *     node if there is none
-   * @param onSilent receives the id of a relay that no longer answers
+   * @param onUnresponsive receives the id of a relay that no longer responds
    * @param responder decides if there is no relay
    * @param nodes supplies the number of nodes, or 0 while it is unknown
    * @param bound how far tenants may exceed their limits
@@ -59,19 +61,19 @@
       EventLoop eventLoop,
       DatagramExchange datagrams,
       Supplier<List<String>> limitRelays,
-      Consumer<String> onSilent,
+      Consumer<String> onUnresponsive,
       LimitResponder responder,
       IntSupplier nodes,
       LimitBound bound,
       long startedAtMillis,
       Time time) {}
 
-  private record PendingQuestion(
+  private record PendingQuery(
       String tenant,
       TenantLimit limit,
       double amount,
-      long askedAtMillis,
-      int questions,
+      long sentAtMillis,
+      int queries,
       CompletableFuture<Admission> result) {}
 
   private final Context context;
@@ -79,9 +81,9 @@
   private final LoanSender reserveLoans;
   private final ReturnedAmounts returnedAmounts = new ReturnedAmounts();
   private final Map<String, LoanSender.Relay> relays = new HashMap<>();
-  private final Map<Long, PendingQuestion> pending = new HashMap<>();
+  private final Map<Long, PendingQuery> pending = new HashMap<>();
   private long lastNumber;
-  private int unansweredQuestions;
+  private int unansweredQueries;
   private boolean lending;
 
   /** Creates a client. */
@@ -149,7 +151,7 @@
     }
   }
 
-  /** Processes the notice that a relay no longer uses this node's share. */
+  /** Processes the message that a relay no longer uses this node's share. */
   void onReleased(String relay, ShareReleased released) {
     (released.getReserve() ? reserveLoans : shareLoans).onReleased(relay, released);
   }
@@ -168,19 +170,19 @@
         .take(tenant, amount, now)
         .ifPresentOrElse(
             result::complete,
-            () -> ask(new PendingQuestion(tenant, limit, amount, now, 1, result)));
+            () -> sendQuery(new PendingQuery(tenant, limit, amount, now, 1, result)));
   }
 
-  private void ask(PendingQuestion question) {
+  private void sendQuery(PendingQuery query) {
     String limitRelay = limitRelays().get(0);
     LoanSender.Relay relay = relays.get(limitRelay);
     if (relay == null) {
-      conclude(question, context.responder().take(question.tenant(), question.amount()));
+      conclude(query, context.responder().take(query.tenant(), query.amount()));
       return;
     }
     long number = ++lastNumber;
-    pending.put(number, question);
-    AdmissionQuestion message = new AdmissionQuestion(number, question.tenant(), question.amount());
+    pending.put(number, query);
+    AdmissionQuestion message = new AdmissionQuestion(number, query.tenant(), query.amount());
     context.datagrams().send(relay.address(), message);
     context
         .eventLoop()
@@ -191,55 +193,55 @@
   }
 
   private void onTimeout(long number, String relay) {
-    PendingQuestion question = pending.remove(number);
-    if (question == null) {
+    PendingQuery query = pending.remove(number);
+    if (query == null) {
       return;
     }
-    unansweredQuestions++;
-    if (unansweredQuestions >= MAX_UNANSWERED_QUESTIONS) {
-      unansweredQuestions = 0;
+    unansweredQueries++;
+    if (unansweredQueries >= MAX_UNANSWERED_QUERIES) {
+      unansweredQueries = 0;
       Logger.info("event=relay-silent relay={}", relay);
-      context.onSilent().accept(relay);
+      context.onUnresponsive().accept(relay);
       renewLoans();
     }
-    if (question.questions() >= MAX_QUESTIONS) {
-      question.result().complete(new Admission.Unknown());
+    if (query.queries() >= MAX_QUERIES) {
+      query.result().complete(new Admission.Unknown());
     } else {
-      retry(question);
+      retry(query);
     }
   }
 
-  private void retry(PendingQuestion question) {
-    ask(
-        new PendingQuestion(
-            question.tenant(),
-            question.limit(),
-            question.amount(),
+  private void retry(PendingQuery query) {
+    sendQuery(
+        new PendingQuery(
+            query.tenant(),
+            query.limit(),
+            query.amount(),
             context.time().monotonicMillis(),
-            question.questions() + 1,
-            question.result()));
+            query.queries() + 1,
+            query.result()));
   }
 
   /** Processes an answer. */
   void onAnswer(AdmissionAnswer answer) {
-    PendingQuestion question = pending.remove(answer.getNumber());
-    if (question == null) {
+    PendingQuery query = pending.remove(answer.getNumber());
+    if (query == null) {
       return;
     }
-    unansweredQuestions = 0;
+    unansweredQueries = 0;
     OptionalLong retryAfter =
         answer.getAdmitted() ? OptionalLong.empty() : OptionalLong.of(answer.getRetryAfterMillis());
-    conclude(question, retryAfter);
+    conclude(query, retryAfter);
   }
 
-  private void conclude(PendingQuestion question, OptionalLong retryAfter) {
+  private void conclude(PendingQuery query, OptionalLong retryAfter) {
     if (retryAfter.isPresent()) {
-      question.result().complete(new Admission.Denied(retryAfter.getAsLong()));
+      query.result().complete(new Admission.Denied(retryAfter.getAsLong()));
       return;
     }
-    Allowance allowance = Allowance.of(question.limit(), context.bound());
-    long until = question.askedAtMillis() + allowance.returnMillis();
-    question.result().complete(new Admission.Granted(question.tenant(), question.amount(), until));
+    Allowance allowance = Allowance.of(query.limit(), context.bound());
+    long until = query.sentAtMillis() + allowance.returnMillis();
+    query.result().complete(new Admission.Granted(query.tenant(), query.amount(), until));
   }
 
   @Override
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/LimitResponder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/LimitResponder.java
@@ -109,7 +109,7 @@
     }
   }
 
-  /** Answers the admission question of a node. */
+  /** Answers the admission query of a node. */
   void answer(InetSocketAddress address, AdmissionQuestion question) {
     OptionalLong retryAfter = take(question.getTenant(), question.getAmount());
     datagrams.send(
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/LoanSender.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/LoanSender.java
@@ -16,8 +16,8 @@
 
 /**
  * Lends this node's share of a quantity that all nodes use together, either to one relay or to this
- * node itself. The quantity is the tenants' limits, the reserves beside them, or the backends'
- * rates. Runs on one event loop.
+ * node itself. The quantity is the tenants' limits, the reserves in addition to them, or the
+ * backends' rates. Runs on one event loop.
  */
 final class LoanSender {
 
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Lends the share to a relay; each heartbeat is answered once. */
+  /** Lends the share to a relay; each of its heartbeats is answered with at most one loan. */
   void lendTo(Relay relay) {
     ShareLender.Heartbeat heartbeat = relay.heartbeat();
     long now = context.time().monotonicMillis();
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Recalls the share from another borrower: it is available sooner if that one returns it than if
-   * the loan has to expire.
+   * Recalls the share from another borrower: the share is available sooner if it is returned than
+   * if the loan has to expire.
    */
   private void recall(String relay, long nowMillis) {
     Optional<ShareLender.Heartbeat> loan = lender.recall(relay, nowMillis);
@@ -112,12 +112,12 @@
     }
     long sentAt = loan.get().sentAtMillis();
     ShareRecall recall = new ShareRecall(loan.get().incarnation(), sentAt, reserve);
-    Relay former = borrowingRelay;
+    Relay previousBorrower = borrowingRelay;
     if (loan.get().relay().equals(context.selfId())) {
       context.borrower().release(context.selfId(), recall);
       lender.released(context.selfId(), loan.get().incarnation(), sentAt, nowMillis);
-    } else if (former != null) {
-      context.sender().accept(former.address(), recall);
+    } else if (previousBorrower != null) {
+      context.sender().accept(previousBorrower.address(), recall);
     }
     scheduleLoanEnd(nowMillis);
   }
@@ -135,7 +135,7 @@
     onShareAvailable.run();
   }
 
-  /** Processes the notice that a relay no longer uses this node's share. */
+  /** Processes the message that a relay no longer uses this node's share. */
   void onReleased(String relay, ShareReleased released) {
     long now = context.time().monotonicMillis();
     lender.released(relay, released.getLife(), released.getSentAt(), now);
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/NodeReporter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/NodeReporter.java
@@ -27,23 +27,23 @@
 
 /**
  * Reports the load of this node's requests at the backends to the relays, by datagrams: soon after
- * a request has begun to be answered or has ended, and periodically while requests are open. Notes
- * may be added from any thread; everything else runs on one event loop.
+ * the response to a request has started or the request has ended, and periodically while requests
+ * are open. Notes may be added from any thread; everything else runs on one event loop.
  */
 public final class NodeReporter implements AttemptObserver {
 
-  /** What happens within this time goes into one message. */
+  /** Changes within this time go into one message. */
   private static final long BATCH_MILLIS = 10;
 
   private static final long REPORT_INTERVAL_MILLIS = 500;
 
-  /** Most notes of each kind that wait to be sent; further ones are dropped. */
+  /** Maximum number of notes of each kind that wait to be sent; further ones are dropped. */
   private static final int MAX_PENDING_NOTES = 256;
 
-  /** Most notes of each kind in one message, so that it fits into a datagram. */
+  /** Maximum number of notes of each kind in one message, so that it fits into a datagram. */
   private static final int MAX_NOTES_IN_MESSAGE = 16;
 
-  private record Reported(BackendWork work, long progress, long reportedAtMillis) {}
+  private record Reported(BackendWork work, long changeCount, long reportedAtMillis) {}
 
   private static final Reported NOT_REPORTED = new Reported(BackendWork.NONE, 0, 0);
 
@@ -168,12 +168,12 @@
     for (TrackedBackend tracked : backends.get().all()) {
       String engine = tracked.backend().id();
       Reported last = lastReported.getOrDefault(engine, NOT_REPORTED);
-      long progress = tracked.load().changeCount();
+      long changeCount = tracked.load().changeCount();
       BackendWork work = tracked.load().work();
       boolean due =
           now - last.reportedAtMillis() >= REPORT_INTERVAL_MILLIS - BATCH_MILLIS && !work.isNone();
-      if (progress != last.progress() || due) {
-        lastReported.put(engine, new Reported(work, progress, now));
+      if (changeCount != last.changeCount() || due) {
+        lastReported.put(engine, new Reported(work, changeCount, now));
         loads.add(
             new EngineLoad(
                 engine, work.waitingTokens(), work.runningTokens(), work.openRequests()));
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/PeerBroadcaster.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/PeerBroadcaster.java
@@ -9,10 +9,10 @@
 import org.lockdale.protocol.generated.SuspectReport;
 
 /**
- * Sends notices to all other nodes.
+ * Broadcasts messages to all other nodes.
  *
  * @param nodes registry of the other nodes
- * @param datagrams sends the notices
+ * @param datagrams sends the messages
  */
 public record PeerBroadcaster(NodeRegistry nodes, DatagramExchange datagrams) {
 
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/PeerLoads.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/PeerLoads.java
@@ -10,9 +10,9 @@
 import org.lockdale.gateway.backend.RemoteLoads;
 
 /**
- * Load of other nodes at each backend: what they reported, and what was placed for them and is not
- * yet part of their reports. Both expire after a short time, so that lost messages and dead nodes
- * do no lasting harm. Thread-safe.
+ * Load of other nodes at each backend: the load that they reported, and the requests that were
+ * placed for them and are not yet part of their reports. Both expire after a short time, so that
+ * lost messages and dead nodes do no lasting harm. Thread-safe.
  */
 public final class PeerLoads implements RemoteLoads {
 
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/PeerRateSupport.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/PeerRateSupport.java
@@ -4,7 +4,7 @@
 public interface PeerRateSupport {
 
   /**
-   * Returns whether a node has shown that it knows of rates; one of an earlier version never does.
+   * Returns whether a node has shown that it supports rates; one of an earlier version never does.
    */
   boolean supportsRates(String node);
 
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/PlacementClient.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/PlacementClient.java
@@ -34,9 +34,9 @@
 import org.tinylog.Logger;
 
 /**
- * Asks the relay that places requests, which knows the load of all nodes, and then another relay if
- * no answer arrives in time. If there is no relay, or none answers, this node decides by what it
- * knows itself. Thread-safe.
+ * Queries the relay that places requests, since it receives the load of all nodes, and then another
+ * relay if no answer arrives in time. If there is no relay, or none answers, this node decides by
+ * its local state. Thread-safe.
  */
 public final class PlacementClient implements PlacementService {
 
@@ -46,8 +46,8 @@
    */
   public static final Duration ANSWER_TIMEOUT = Duration.ofMillis(40);
 
-  /** Unanswered questions in a row after which a relay is no longer asked. */
-  private static final int MAX_UNANSWERED_QUESTIONS = 3;
+  /** Number of unanswered queries in a row after which a relay is no longer queried. */
+  private static final int MAX_UNANSWERED_QUERIES = 3;
 
   /**
    * Shortest time between two log lines about rejected choices, in milliseconds, since each request
@@ -55,12 +55,12 @@
    */
   private static final long REJECTION_LOG_MILLIS = 1_000;
 
-  /** Most backends that a question excludes, so that it fits into a datagram. */
+  /** Maximum number of backends that a query excludes, so that it fits into a datagram. */
   private static final int MAX_EXCLUDED = 24;
 
   private static final int MAX_EXCLUDED_AS_FAILING = 12;
 
-  private record PendingQuestion(
+  private record PendingQuery(
       String relay,
       PlacementQuery query,
       CompletableFuture<PlacementResult> result,
@@ -70,7 +70,7 @@
    * Dependencies of a client.
    *
    * @param eventLoop runs the client's timers
-   * @param datagrams carries questions
+   * @param datagrams sends queries
    * @param coordinator supplies the relay that places requests, or empty if this node does so
    *     itself
    * @param relays supplies the other relays that place requests, the most senior first
@@ -92,26 +92,26 @@
       Time time) {}
 
   private final Context context;
-  private final Duration answerTime;
-  private final Consumer<RelayElection.Relay> onSilent;
-  private final Map<Long, PendingQuestion> pending = new ConcurrentHashMap<>();
-  private final Set<Long> grantedQuestions = ConcurrentHashMap.newKeySet();
+  private final Duration answerTimeout;
+  private final Consumer<RelayElection.Relay> onUnresponsive;
+  private final Map<Long, PendingQuery> pending = new ConcurrentHashMap<>();
+  private final Set<Long> grantedQueries = ConcurrentHashMap.newKeySet();
   private final AtomicLong lastNumber = new AtomicLong();
-  private final AtomicInteger unansweredQuestions = new AtomicInteger();
+  private final AtomicInteger unansweredQueries = new AtomicInteger();
   private final AtomicLong nextRejectionLogMillis = new AtomicLong(Long.MIN_VALUE);
 
   /**
    * Creates a client.
    *
    * @param context dependencies
-   * @param answerTime how long to wait for a relay's answer
-   * @param onSilent receives, on the event loop, a relay that no longer answers
+   * @param answerTimeout how long to wait for a relay's answer
+   * @param onUnresponsive receives, on the event loop, a relay that no longer responds
    */
   public PlacementClient(
-      Context context, Duration answerTime, Consumer<RelayElection.Relay> onSilent) {
+      Context context, Duration answerTimeout, Consumer<RelayElection.Relay> onUnresponsive) {
     this.context = context;
-    this.answerTime = answerTime;
-    this.onSilent = onSilent;
+    this.answerTimeout = answerTimeout;
+    this.onUnresponsive = onUnresponsive;
   }
 
   @Override
@@ -121,7 +121,7 @@
       return CompletableFuture.completedFuture(decide(query));
     }
     CompletableFuture<PlacementResult> result = new CompletableFuture<>();
-    ask(coordinator.get(), query, result, false);
+    sendQuery(coordinator.get(), query, result, false);
     return result;
   }
 
@@ -129,20 +129,20 @@
     return context.decider().decide(query, context.time().monotonicMillis());
   }
 
-  private void ask(
+  private void sendQuery(
       RelayElection.Relay relay,
       PlacementQuery query,
       CompletableFuture<PlacementResult> result,
       boolean isRepeat) {
     long number = lastNumber.incrementAndGet();
-    pending.put(number, new PendingQuestion(relay.id(), query, result, isRepeat));
-    context.datagrams().send(relay.address(), question(number, query));
+    pending.put(number, new PendingQuery(relay.id(), query, result, isRepeat));
+    context.datagrams().send(relay.address(), message(number, query));
     context
         .eventLoop()
-        .schedule(() -> onTimeout(number, relay), answerTime.toMillis(), TimeUnit.MILLISECONDS);
+        .schedule(() -> onTimeout(number, relay), answerTimeout.toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  private PlacementQuestion question(long number, PlacementQuery query) {
+  private PlacementQuestion message(long number, PlacementQuery query) {
     List<QueryPart> parts = new ArrayList<>(query.parts().size());
     query.parts().forEach(part -> parts.add(new QueryPart(part.id(), part.tokens())));
     return new PlacementQuestion(
@@ -189,65 +189,68 @@
   }
 
   private void onTimeout(long number, RelayElection.Relay relay) {
-    PendingQuestion question = pending.remove(number);
-    grantedQuestions.remove(number);
-    if (question == null) {
+    PendingQuery pendingQuery = pending.remove(number);
+    grantedQueries.remove(number);
+    if (pendingQuery == null) {
       return;
     }
-    if (unansweredQuestions.incrementAndGet() >= MAX_UNANSWERED_QUESTIONS) {
-      unansweredQuestions.set(0);
+    if (unansweredQueries.incrementAndGet() >= MAX_UNANSWERED_QUERIES) {
+      unansweredQueries.set(0);
       Logger.info("event=relay-silent relay={}", relay.id());
-      onSilent.accept(relay);
+      onUnresponsive.accept(relay);
     }
-    Optional<RelayElection.Relay> next = question.isRepeat() ? Optional.empty() : nextRelay(relay);
+    Optional<RelayElection.Relay> next =
+        pendingQuery.isRepeat() ? Optional.empty() : nextRelay(relay);
     if (next.isPresent()) {
-      ask(next.get(), question.query(), question.result(), true);
+      sendQuery(next.get(), pendingQuery.query(), pendingQuery.result(), true);
     } else {
-      question.result().complete(decide(question.query()));
+      pendingQuery.result().complete(decide(pendingQuery.query()));
     }
   }
 
-  /** Returns another relay, which knows far more than this node does. */
-  private Optional<RelayElection.Relay> nextRelay(RelayElection.Relay silent) {
+  /** Returns another relay, which receives the load of all nodes as well. */
+  private Optional<RelayElection.Relay> nextRelay(RelayElection.Relay unresponsive) {
     return context.relays().get().stream()
-        .filter(relay -> !relay.id().equals(silent.id()))
+        .filter(relay -> !relay.id().equals(unresponsive.id()))
         .findFirst();
   }
 
   /** Processes an answer. */
   public void onAnswer(String sender, PlacementAnswer answer) {
-    PendingQuestion question = pending.remove(answer.getNumber());
-    if (question == null || !question.relay().equals(sender)) {
+    PendingQuery pendingQuery = pending.remove(answer.getNumber());
+    if (pendingQuery == null || !pendingQuery.relay().equals(sender)) {
       return;
     }
-    unansweredQuestions.set(0);
-    boolean isGranted = grantedQuestions.remove(answer.getNumber());
-    Placement placement = placement(sender, question.query(), answer, isGranted);
-    question
+    unansweredQueries.set(0);
+    boolean isGranted = grantedQueries.remove(answer.getNumber());
+    Placement placement = placement(sender, pendingQuery.query(), answer, isGranted);
+    pendingQuery
         .result()
         .complete(
-            placement == null ? decide(question.query()) : new PlacementResult.Placed(placement));
+            placement == null
+                ? decide(pendingQuery.query())
+                : new PlacementResult.Placed(placement));
   }
 
   /**
-   * Processes the notice that the placement in the answer that follows is counted against the rate
+   * Processes the message that the placement in the answer that follows is counted against the rate
    * of its backend. A relay of an earlier version never sends it, nor does one that has just
-   * started and knows no rates yet.
+   * started and has received no rates yet.
    */
   void onGrant(String sender, RateGrant grant) {
-    PendingQuestion question = pending.get(grant.getNumber());
-    if (question != null && question.relay().equals(sender)) {
-      grantedQuestions.add(grant.getNumber());
+    PendingQuery pendingQuery = pending.get(grant.getNumber());
+    if (pendingQuery != null && pendingQuery.relay().equals(sender)) {
+      grantedQueries.add(grant.getNumber());
     }
   }
 
-  /** Processes the answer that no backend which could serve the request accepts more at present. */
+  /** Processes the answer that no backend that could serve the request accepts more at present. */
   void onDelay(String sender, PlacementDelay delay) {
-    PendingQuestion question = pending.get(delay.getNumber());
-    if (question != null && question.relay().equals(sender)) {
+    PendingQuery pendingQuery = pending.get(delay.getNumber());
+    if (pendingQuery != null && pendingQuery.relay().equals(sender)) {
       pending.remove(delay.getNumber());
-      unansweredQuestions.set(0);
-      question.result().complete(new PlacementResult.RetryLater(delay.getWaitMillis()));
+      unansweredQueries.set(0);
+      pendingQuery.result().complete(new PlacementResult.RetryLater(delay.getWaitMillis()));
     }
   }
 
@@ -281,9 +284,9 @@
   }
 
   /**
-   * Returns whether weights are too old by what this node knows. The sender of a request is
-   * responsible for the weights that serve it, and a relay that has just started may not know how
-   * long ago the newest target version was set.
+   * Returns whether weights are too old by the target versions that this node knows. The sender of
+   * a request is responsible for the weights that serve it, and a relay that has just started may
+   * not know how long ago the newest target version was set.
    */
   private boolean isOutdated(
       String relay, PlacementQuery query, TrackedBackend target, long weights) {
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/PlacementResponder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/PlacementResponder.java
@@ -11,14 +11,12 @@
 import org.lockdale.protocol.generated.PlacementQuestion;
 import org.lockdale.protocol.generated.RateGrant;
 
-/**
- * Answers placement questions of other nodes and records what it places. Runs on one event loop.
- */
+/** Answers placement queries of other nodes and records the placements. Runs on one event loop. */
 public final class PlacementResponder {
 
   /**
-   * More numbers per millisecond than questions can come, so that numbers never repeat after a
-   * restart.
+   * Allows for more numbers per millisecond than queries can arrive, so that no number repeats
+   * after a restart.
    */
   private static final int NUMBERS_PER_MILLISECOND_BITS = 10;
 
@@ -49,11 +47,11 @@
   void answer(String sender, InetSocketAddress address, PlacementQuestion question) {
     PlacementResult result =
         decider.decideForAnother(PlacementMessages.query(question), time.monotonicMillis());
-    if (result instanceof PlacementResult.RetryLater notNow) {
+    if (result instanceof PlacementResult.RetryLater retryLater) {
       // A node of an earlier version ignores this message and uses the answer that follows; others
       // use whichever arrives first.
       datagrams.sendRateMessage(
-          List.of(address), new PlacementDelay(question.getNumber(), notNow.waitMillis()));
+          List.of(address), new PlacementDelay(question.getNumber(), retryLater.waitMillis()));
     }
     if (result instanceof PlacementResult.Placed placed
         && decider.countsTowardsRateLimit(placed.placement().target())) {
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/RateExchange.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/RateExchange.java
@@ -49,15 +49,18 @@
   /** Shortest time between two broadcasts, since a rate may change with each response. */
   private static final long BROADCAST_INTERVAL_MILLIS = 200;
 
-  /** Most nodes that a broadcast reaches where there is no coordinator to inform all of them. */
+  /**
+   * Maximum number of nodes that a broadcast reaches if there is no coordinator to inform all of
+   * them.
+   */
   private static final int MAX_RECEIVERS_WITHOUT_COORDINATOR = 16;
 
   private static final int RECEIVER_OFFSET_SPREAD = 1_024;
 
-  /** Most records in one message, so that it fits into a datagram. */
+  /** Maximum number of records in one message, so that it fits into a datagram. */
   private static final int MAX_RECORDS_IN_MESSAGE = 16;
 
-  /** Most rates waiting to be reported; responses of rate-limited backends are few. */
+  /** Maximum number of rates waiting to be reported; responses of rate-limited backends are few. */
   private static final int MAX_PENDING_OBSERVATIONS = 1_024;
 
   /**
@@ -76,11 +79,11 @@
    * @param sender sends a message to several nodes
    * @param coordinator supplies the relay that places requests, or empty if this node does so
    *     itself
-   * @param isCoordinator whether this node is the relay that places the requests of all
+   * @param isCoordinator whether this node is the relay that places the requests of all nodes
    * @param relays supplies the other relays that place requests
    * @param peers supplies the other nodes
    * @param nodes supplies the number of nodes, or 0 while it is unknown
-   * @param rates the rates that this node knows
+   * @param rates rates of backends that are known to this node
    * @param startedAtMillis monotonic time at which the process started
    * @param time clock
    */
@@ -153,7 +156,11 @@
 
   private void sendKnownRate(String relay, String backend) {
     List<Observation> known =
-        context.rates().advertisedRate(backend).map(named -> observationOf(backend, named)).stream()
+        context
+            .rates()
+            .advertisedRate(backend)
+            .map(advertised -> observationOf(backend, advertised))
+            .stream()
             .toList();
     for (RelayElection.Relay each : context.relays().get()) {
       if (each.id().equals(relay)) {
@@ -332,8 +339,8 @@
   }
 
   /**
-   * Sends all known rates to the nodes that do not lend their share: they know of no rate yet or
-   * have just restarted.
+   * Sends all known rates to the nodes that do not lend their share: they have received no rate yet
+   * or have just restarted.
    */
   private void sendToNonLenders() {
     List<PeerNode> nonLenders = new ArrayList<>();
@@ -381,7 +388,7 @@
     }
   }
 
-  /** Processes the notice that a relay no longer uses this node's share. */
+  /** Processes the message that a relay no longer uses this node's share. */
   void onReleased(String relay, ShareReleased released) {
     loanSender.onReleased(relay, released);
   }
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/RelayController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/RelayController.java
@@ -19,9 +19,9 @@
 import org.tinylog.Logger;
 
 /**
- * Runs the election of relays and sends the heartbeats of this node while it serves as one. Passes
- * the table versions in the heartbeats of other relays on to this node's table followers. Runs on
- * one event loop; the relays may be read from any thread.
+ * Runs the election of relays and sends the heartbeats of this node while it serves as one.
+ * Forwards the table versions in the heartbeats of other relays to this node's table followers.
+ * Runs on one event loop; the relays may be read from any thread.
  */
 public final class RelayController {
 
@@ -29,8 +29,8 @@
   private static final long RELAY_TICK_MILLIS = 50;
 
   /**
-   * Interval at which another node checks whether it has to serve; longer, so that idle nodes
-   * seldom wake up.
+   * Interval at which a node that is not a relay checks whether it has to serve; longer, so that
+   * idle nodes seldom wake up.
    */
   private static final long TICK_MILLIS = 200;
 
@@ -131,13 +131,13 @@
     return election.limitRelays(ShareLender.TERM_MILLIS, time.monotonicMillis());
   }
 
-  /** Called on the event loop when a relay does not answer. */
+  /** Called on the event loop when a relay does not respond. */
   public void markUnresponsive(RelayElection.Relay relay) {
     markUnresponsiveById(relay.id());
   }
 
   /**
-   * Called on the event loop when a relay does not answer.
+   * Called on the event loop when a relay does not respond.
    *
    * @param relay id of the relay
    */
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/RelayElection.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/RelayElection.java
@@ -12,9 +12,10 @@
 /**
  * Elects the relays: the few nodes that follow the shared store and place requests for all nodes.
  * No vote is needed, since surplus relays do no harm: a node that receives heartbeats from too few
- * relays becomes one itself after a delay of its own, and a relay that receives heartbeats from
- * enough more senior ones retires. Seniority keeps a relay that knows much from being replaced by
- * one that has just started. Performs no I/O; the time is passed in. Not thread-safe.
+ * relays becomes one itself after a delay that differs from node to node, and a relay that receives
+ * heartbeats from enough more senior ones retires. Seniority prevents a relay that has collected
+ * state from being replaced by one that has just started. Performs no I/O; the time is passed in.
+ * Not thread-safe.
  */
 public final class RelayElection {
 
@@ -24,7 +25,7 @@
   /** A relay without a heartbeat for this long counts as failed. */
   static final long SILENCE_MILLIS = 1_300;
 
-  /** A relay that failed to answer is not used for this long. */
+  /** A relay that failed to respond is not used for this long. */
   static final long EXCLUSION_MILLIS = 3_000;
 
   /** Surplus relays keep serving for this long, until it is certain that the others stay. */
@@ -44,16 +45,16 @@
   /**
    * Maximum age of a relay's proof, the time at which its table copies were last known to be
    * current, for the relay to place requests and decide on limits. Another relay may have more
-   * current copies, but each change of the relay loses what it knew of loads, cached prompts and
+   * current copies, but each change of the relay loses its state of loads, cached prompts and
    * buckets, and the sender of a request checks the engine and its weights itself. With the bound
    * for copies of tables, two seconds, nodes switched between up to five relays and none, twice a
-   * second, while the store's answers were seconds behind.
+   * second, while the store's responses were seconds behind.
    */
   private static final long MAX_ELIGIBLE_PROOF_AGE_MILLIS = 10_000;
 
   /**
-   * Most relays that receive load reports and placement questions; an unreachable store makes many
-   * nodes serve as relays.
+   * Maximum number of relays that receive load reports and placement queries; an unreachable store
+   * makes many nodes serve as relays.
    */
   private static final int MAX_RELAYS = 3;
 
@@ -122,7 +123,7 @@
     lastHeartbeats.remove(id);
   }
 
-  /** Called when a relay did not answer. */
+  /** Called when a relay did not respond. */
   public void markUnresponsive(String id, long nowMillis) {
     excludedUntil.put(id, nowMillis + EXCLUSION_MILLIS);
   }
@@ -233,9 +234,9 @@
 
   /**
    * Returns the ids of the relays that may decide on limits, the most senior first; this node if
-   * there is none. A relay without heartbeats is dropped sooner than for placement. One that has
-   * lost the store is kept longer than the election counts it, since it can enforce limits without
-   * the store. If no relay reaches the store, all with recent heartbeats may decide.
+   * there is none. A relay without heartbeats is dropped sooner than for placement. One that no
+   * longer reaches the store is kept longer than the election counts it, since it can enforce
+   * limits without the store. If no relay reaches the store, all with recent heartbeats may decide.
    *
    * @param maxSilenceMillis longest time since a relay's last heartbeat
    * @param nowMillis monotonic time
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/ReportReceiver.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/ReportReceiver.java
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Returns the id of the incarnation of a backend that another node names, or the name if it is
-   * unknown here.
+   * Returns the id of the incarnation that another node reports by a name, or the name if the
+   * backend is unknown here.
    */
   private String incarnationOf(String name) {
     TrackedBackend tracked = backends.get().resolve(name);
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/SuspectListClient.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/SuspectListClient.java
@@ -22,17 +22,17 @@
 import org.tinylog.Logger;
 
 /**
- * Asks other nodes, once after the start of this node, which requests are suspected of crashing
- * backends. The shared table holds suspects with two or more crashes only; a first crash is known
- * to the nodes that were running at the time, and is forgotten when they stop unless nodes that
- * start learn of it from them. Runs on one event loop.
+ * Requests the list of suspects, the requests that are suspected of crashing backends, from other
+ * nodes, once after the start of this node. The shared table contains a limited number of requests
+ * with a single crash, and only while the crash is recent; others are known only to the nodes that
+ * were running at the time, and would be lost when these stop. Runs on one event loop.
  */
 public final class SuspectListClient {
 
-  /** Two, since the node that is asked may have just started as well. */
-  private static final int WANTED_ANSWERS = 2;
+  /** Two, since a node that responds may have just started as well. */
+  private static final int WANTED_RESPONSES = 2;
 
-  private static final int MAX_TRIES = 4;
+  private static final int MAX_REQUESTS = 4;
   private static final long PEER_POLL_MILLIS = 100;
   private static final Duration TIMEOUT = Duration.ofMillis(600);
   private static final int OK = 200;
@@ -42,9 +42,9 @@
   private final Supplier<List<PeerNode>> peers;
   private final Consumer<List<Suspect>> onSuspects;
   private final MessageCodec<NodeDatagram> codec = MessageCodec.nodeDatagrams();
-  private List<PeerNode> unasked = List.of();
-  private int answers;
-  private int tries;
+  private List<PeerNode> remainingPeers = List.of();
+  private int responses;
+  private int requests;
 
   /**
    * Creates an instance; {@link #start} starts it.
@@ -65,7 +65,7 @@
     this.onSuspects = onSuspects;
   }
 
-  /** Asks as soon as other nodes are known. */
+  /** Starts the requests as soon as other nodes are known. */
   public void start() {
     eventLoop.execute(this::awaitPeers);
   }
@@ -77,18 +77,18 @@
     }
     List<PeerNode> all = new ArrayList<>(peers.get());
     Collections.shuffle(all, ThreadLocalRandom.current());
-    unasked = all;
-    for (int node = 0; node < WANTED_ANSWERS; node++) {
-      askNext();
+    remainingPeers = all;
+    for (int node = 0; node < WANTED_RESPONSES; node++) {
+      requestNext();
     }
   }
 
-  private void askNext() {
-    if (tries == MAX_TRIES || answers == WANTED_ANSWERS || unasked.isEmpty()) {
+  private void requestNext() {
+    if (requests == MAX_REQUESTS || responses == WANTED_RESPONSES || remainingPeers.isEmpty()) {
       return;
     }
-    tries++;
-    InetSocketAddress address = unasked.remove(unasked.size() - 1).address();
+    requests++;
+    InetSocketAddress address = remainingPeers.remove(remainingPeers.size() - 1).address();
     client
         .exchange(address, HttpRequestMessage.get(SuspectListHandler.PATH), TIMEOUT)
         .thenApply(this::read)
@@ -108,16 +108,16 @@
 
   /**
    * Processes a response. Nodes of an earlier version do not support the request, and those that
-   * are gone do not respond; another node is asked instead.
+   * are gone do not respond; the list is requested from another node instead.
    */
   private void onResponse(
       InetSocketAddress address, @Nullable List<Suspect> suspects, @Nullable Throwable failure) {
     if (suspects == null) {
       Logger.info("event=suspects-not-told node={} cause=\"{}\"", address, failure);
-      askNext();
+      requestNext();
       return;
     }
-    answers++;
+    responses++;
     if (!suspects.isEmpty()) {
       onSuspects.accept(suspects);
     }
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/SuspectListHandler.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/SuspectListHandler.java
@@ -36,7 +36,7 @@
    * Creates a handler.
    *
    * @param nodeId id of this node
-   * @param quarantine holds the suspects that this node knows
+   * @param quarantine supplies the suspects that this node knows
    * @param eventLoop runs the quarantine
    */
   public SuspectListHandler(String nodeId, Quarantine quarantine, Executor eventLoop) {
@@ -47,10 +47,10 @@
 
   @Override
   public void handle(HttpExchange exchange) {
-    eventLoop.execute(() -> exchange.reply(answer()));
+    eventLoop.execute(() -> exchange.reply(createReply()));
   }
 
-  private HttpReply answer() {
+  private HttpReply createReply() {
     List<SuspectRecord> known =
         quarantine.heaviest(MAX_SUSPECTS).stream().map(SuspectMessages::write).toList();
     byte[] body = codec.encode(new NodeDatagram(nodeId, new SuspectReport(known)));
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/TableSliceClient.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/TableSliceClient.java
@@ -29,7 +29,8 @@
   }
 
   @Override
-  public CompletableFuture<Answer> changes(InetSocketAddress peer, String table, long afterChange) {
+  public CompletableFuture<Response> changes(
+      InetSocketAddress peer, String table, long afterChange) {
     byte[] body = requests.encode(new TableSliceRequest(table, afterChange));
     HttpRequestMessage message =
         HttpRequestMessage.json(HttpMethod.POST, TableSliceHandler.STORE_FALLBACK_PATH, body)
@@ -37,13 +38,13 @@
     return client.exchange(peer, message, TIMEOUT).thenApply(reply -> read(table, reply));
   }
 
-  private Answer read(String table, HttpReply reply) {
+  private Response read(String table, HttpReply reply) {
     if (reply.status() == TableSliceHandler.GONE) {
       throw new TransferTooLargeException(table);
     }
     if (reply.status() != OK) {
       throw new IllegalStateException("unexpected response status " + reply.status());
     }
-    return TableSliceMessages.answer(slices.decode(reply.body()));
+    return TableSliceMessages.response(slices.decode(reply.body()));
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/TableSliceHandler.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/TableSliceHandler.java
@@ -18,11 +18,14 @@
 /** Serves the changes in this node's copies of tables to other nodes. */
 public final class TableSliceHandler implements HttpHandler {
 
-  /** Path that nodes of an earlier version request; it returns the whole copy whatever its size. */
+  /**
+   * Path that nodes of an earlier version request; changes are sent whatever their size, also if
+   * they are the complete copy.
+   */
   static final String PATH = "/tables/changes";
 
   /**
-   * Path for nodes that can read the store instead: where the changes are too many, the status is
+   * Path for nodes that can read the store instead: if the changes are too many, the status is
    * {@link #GONE}.
    */
   static final String STORE_FALLBACK_PATH = "/tables/lacking";
@@ -64,10 +67,10 @@
 
   @Override
   public void handle(HttpExchange exchange) {
-    eventLoop.execute(() -> exchange.reply(answer(exchange)));
+    eventLoop.execute(() -> exchange.reply(createReply(exchange)));
   }
 
-  private HttpReply answer(HttpExchange exchange) {
+  private HttpReply createReply(HttpExchange exchange) {
     TableSliceRequest request;
     try {
       request = requests.decode(exchange.body());
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/TableSliceMessages.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/TableSliceMessages.java
@@ -20,10 +20,10 @@
       ByteBuffer value = ByteBuffer.wrap(row.value());
       rows.add(new TableSliceRow(row.key(), value, row.version(), row.removed()));
     }
-    return new TableSlice(changes.whole(), changes.lastChange(), storeMillis, ageMillis, rows);
+    return new TableSlice(changes.complete(), changes.lastChange(), storeMillis, ageMillis, rows);
   }
 
-  static TablePeers.Answer answer(TableSlice slice) {
+  static TablePeers.Response response(TableSlice slice) {
     List<TableRowChange> rows = new ArrayList<>(slice.getRows().size());
     for (TableSliceRow row : slice.getRows()) {
       byte[] value = new byte[row.getValue().remaining()];
@@ -32,6 +32,6 @@
     }
     TableChanges changes =
         new TableChanges(slice.getWhole(), slice.getLastChange(), List.copyOf(rows));
-    return new TablePeers.Answer(changes, slice.getStoreMillis(), slice.getAgeMillis());
+    return new TablePeers.Response(changes, slice.getStoreMillis(), slice.getAgeMillis());
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/table/TableCopy.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/TableCopy.java
@@ -26,7 +26,7 @@
    */
   private static final int MAX_ROWS_TO_SEND = 256;
 
-  /** Version of a copy into which nothing was read yet. */
+  /** Version of a copy before its first reading. */
   static final long UNKNOWN = -1;
 
   private final Map<String, TableRowChange> rows = new HashMap<>();
@@ -45,24 +45,25 @@
   }
 
   /**
-   * Applies a reading of the whole table. A reading older than the copy adds and updates rows, but
-   * removes none, since rows that it lacks may have been added later. A reading from a former era
-   * of the store is ignored: the restore of the store discarded what only that reading holds.
+   * Applies a reading of the complete table. A reading older than the copy adds and updates rows,
+   * but removes none, since rows that it lacks may have been added later. A reading from an earlier
+   * era of the store, the generation of its history before a restore, is ignored: the restore
+   * discarded rows that only that reading contains.
    *
-   * @param whole all rows by key
+   * @param allRows all rows by key
    * @param version version of the store at the time of the reading
    */
-  void replace(Map<String, TableRowChange> whole, long version) {
-    if (isFromFormerEra(version)) {
+  void replace(Map<String, TableRowChange> allRows, long version) {
+    if (isFromEarlierEra(version)) {
       return;
     }
     if (version >= lastChange) {
-      rows.keySet().retainAll(whole.keySet());
+      rows.keySet().retainAll(allRows.keySet());
       removals.clear();
       lastChange = version;
       changesHeldSince = version;
     }
-    for (TableRowChange row : whole.values()) {
+    for (TableRowChange row : allRows.values()) {
       TableRowChange removal = removals.get(row.key());
       if (removal == null || removal.version() < row.version()) {
         rows.merge(row.key(), row, TableCopy::newer);
@@ -70,7 +71,7 @@
     }
   }
 
-  private boolean isFromFormerEra(long version) {
+  private boolean isFromEarlierEra(long version) {
     return lastChange != UNKNOWN
         && StoreVersion.ofPacked(version).era() < StoreVersion.ofPacked(lastChange).era();
   }
@@ -79,10 +80,10 @@
     return before.version() > row.version() ? before : row;
   }
 
-  /** Applies changes that follow those in the copy. Changes from a former era are ignored. */
+  /** Applies changes that follow those in the copy. Changes from an earlier era are ignored. */
   void apply(List<TableRowChange> changes) {
     for (TableRowChange change : changes) {
-      if (isFromFormerEra(change.version())) {
+      if (isFromEarlierEra(change.version())) {
         continue;
       }
       TableRowChange before = rows.get(change.key());
@@ -113,10 +114,10 @@
     if (changes.lastChange() < lastChange) {
       return;
     }
-    if (changes.whole()) {
-      Map<String, TableRowChange> whole = new HashMap<>();
-      changes.rows().forEach(row -> whole.put(row.key(), row));
-      replace(whole, changes.lastChange());
+    if (changes.complete()) {
+      Map<String, TableRowChange> allRows = new HashMap<>();
+      changes.rows().forEach(row -> allRows.put(row.key(), row));
+      replace(allRows, changes.lastChange());
     } else {
       apply(changes.rows());
       lastChange = Math.max(lastChange, changes.lastChange());
@@ -154,16 +155,16 @@
 
   /** Returns the changes after a version, or all rows if the copy no longer holds these changes. */
   TableChanges changesAfter(long version) {
-    boolean whole = version < changesHeldSince;
+    boolean complete = version < changesHeldSince;
     List<TableRowChange> changes = new ArrayList<>();
     for (TableRowChange row : rows.values()) {
-      if (whole || row.version() > version) {
+      if (complete || row.version() > version) {
         changes.add(row);
       }
     }
-    if (!whole) {
+    if (!complete) {
       removals.values().stream().filter(row -> row.version() > version).forEach(changes::add);
     }
-    return new TableChanges(whole, lastChange, List.copyOf(changes));
+    return new TableChanges(complete, lastChange, List.copyOf(changes));
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/table/TableFollower.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/TableFollower.java
@@ -15,10 +15,11 @@
 import org.tinylog.Logger;
 
 /**
- * Keeps a copy of a table current. It first scans the whole table. While {@link #follow following}
- * is enabled, it then polls the store for changes, and scans again if the store no longer holds
- * some of them. Otherwise a relay node announces new versions, and the changes are read from that
- * relay. Each response also proves that the copy was current at some time. Runs on one event loop.
+ * Keeps a copy of a table current. It first scans the complete table. While {@link #follow
+ * following} is enabled, it then polls the store for changes, and scans again if the store no
+ * longer holds some of them. Otherwise a relay node announces new versions, and the changes are
+ * read from that relay. Each response also proves that the copy was current at some time. Runs on
+ * one event loop.
  */
 public final class TableFollower {
 
@@ -62,16 +63,16 @@
    *
    * @param table name of the table
    * @param longestWait longest time for which the store holds a call while there are no changes
-   * @param gather pause before the next call to the store after a change, which batches further
+   * @param batchDelay pause before the next call to the store after a change, which batches further
    *     changes
    */
-  public record Plan(String table, Duration longestWait, Duration gather) {}
+  public record Plan(String table, Duration longestWait, Duration batchDelay) {}
 
   private final EventLoop eventLoop;
   private final Sources sources;
   private final String table;
   private final Duration longestWait;
-  private final Duration gather;
+  private final Duration batchDelay;
   private final Time time;
   private final Listener listener;
   private final TableCopy copy = new TableCopy();
@@ -100,12 +101,12 @@
     this.sources = sources;
     this.table = plan.table();
     this.longestWait = plan.longestWait();
-    this.gather = plan.gather();
+    this.batchDelay = plan.batchDelay();
     this.time = time;
     this.listener = listener;
   }
 
-  /** Starts to scan the whole table. */
+  /** Starts to scan the complete table. */
   public void start() {
     eventLoop.execute(this::scan);
   }
@@ -203,10 +204,12 @@
     return sources
         .peers()
         .changes(relay, table, afterChange)
-        .thenAcceptAsync(answer -> accept(answer, sentAtMillis), eventLoop);
+        .thenAcceptAsync(response -> accept(response, sentAtMillis), eventLoop);
   }
 
-  /** Reads the changes from the store, or the relay's whole copy if the store doesn't respond. */
+  /**
+   * Reads the changes from the store, or the relay's complete copy if the store doesn't respond.
+   */
   private CompletableFuture<@Nullable Void> readFromStoreOrRelay(InetSocketAddress relay) {
     long sentAtMillis = time.monotonicMillis();
     return sources
@@ -248,16 +251,16 @@
     recordProof(page.storeMillis(), provenAt, !page.rows().isEmpty());
   }
 
-  private void accept(TablePeers.Answer answer, long sentAtMillis) {
-    TableChanges changes = answer.changes();
+  private void accept(TablePeers.Response response, long sentAtMillis) {
+    TableChanges changes = response.changes();
     if (changes.lastChange() < copy.lastChange()) {
       return;
     }
     copy.accept(changes);
     readUpTo = Math.max(readUpTo, changes.lastChange());
-    sources.clock().observe(answer.storeMillis(), sentAtMillis - answer.ageMillis());
+    sources.clock().observe(response.storeMillis(), sentAtMillis - response.ageMillis());
     // The relay wrote the response after sentAtMillis, so the proof is dated no later than it was.
-    recordProof(answer.storeMillis(), sentAtMillis - answer.ageMillis(), true);
+    recordProof(response.storeMillis(), sentAtMillis - response.ageMillis(), true);
   }
 
   private void recordProof(long storeMillis, long atMillis, boolean changed) {
@@ -362,8 +365,8 @@
     callOpen = false;
     applyChanges(page, sentAtMillis);
     recordProofOf(page, sentAtMillis);
-    if (!page.rows().isEmpty() && !gather.isZero()) {
-      eventLoop.schedule(this::readNext, gather.toMillis(), TimeUnit.MILLISECONDS);
+    if (!page.rows().isEmpty() && !batchDelay.isZero()) {
+      eventLoop.schedule(this::readNext, batchDelay.toMillis(), TimeUnit.MILLISECONDS);
     } else {
       readNext();
     }
--- a/gateway/src/main/java/org/lockdale/gateway/table/TablePeers.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/TablePeers.java
@@ -13,7 +13,7 @@
    * @param storeMillis time by the store's clock at which the copy was current
    * @param ageMillis age of that proof when the response was written, in milliseconds
    */
-  record Answer(TableChanges changes, long storeMillis, long ageMillis) {}
+  record Response(TableChanges changes, long storeMillis, long ageMillis) {}
 
   /**
    * Reads the changes after a version. The future fails if the node does not respond in time, and
@@ -24,5 +24,5 @@
    * @param table name of the table
    * @param afterChange version up to which the caller has all changes, or -1 to read all rows
    */
-  CompletableFuture<Answer> changes(InetSocketAddress peer, String table, long afterChange);
+  CompletableFuture<Response> changes(InetSocketAddress peer, String table, long afterChange);
 }
--- a/gateway/src/main/java/org/lockdale/gateway/table/TransferTooLargeException.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/TransferTooLargeException.java
@@ -1,8 +1,8 @@
 package org.lockdale.gateway.table;
 
 /**
- * Thrown if another node refuses to send the changes after a version because they are too large.
- * The changes should be read from the store, or the whole copy from the node if the store doesn't
+ * Thrown if another node does not send the changes after a version because they are too large. The
+ * changes should be read from the store, or the complete copy from the node if the store doesn't
  * respond.
  */
 public final class TransferTooLargeException extends RuntimeException {
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/FleetPlacementTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/FleetPlacementTest.java
@@ -26,7 +26,7 @@
 /**
  * Simulates one relay that places requests for many nodes, whose reports arrive late or get lost,
  * at engines with few slots that reject requests beyond them. A third of the prompts is long and
- * served quickly; of the short ones, which stream for seconds, a third begins with the same part.
+ * served quickly; of the short ones, which stream for seconds, a third starts with the same part.
  */
 public final class FleetPlacementTest {
 
@@ -240,9 +240,9 @@
 
   /**
    * A new target version is set, and the engines load it, as many at once as in a rollout, the
-   * least busy first. Answers on replaced weights that begin more than 1.5 s later are worth less:
-   * they are 30% of the prompts if engines are chosen without regard to their weights, and 3% if
-   * newer weights are preferred.
+   * least busy first. Responses on replaced weights that start more than 1.5 s later are worth
+   * less: they are 30% of the prompts if engines are chosen without regard to their weights, and 3%
+   * if newer weights are preferred.
    */
   @Test
   public void aRolloutLeavesFewPromptsToReplacedWeights() {
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/PlacementClientTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/PlacementClientTest.java
@@ -78,10 +78,10 @@
   private GatewayBlackboard blackboard;
   private PlacementClient client;
 
-  /** Backends that the latest question excluded. */
+  /** Backends that the latest query excluded. */
   private volatile List<String> excluded = List.of();
 
-  /** Answers each question with the first backend, which holds the old weights. */
+  /** Answers each query with the first backend, which holds the old weights. */
   private final class Answering extends NoOpDatagramListener {
     private final DatagramExchange exchange;
 
@@ -177,8 +177,8 @@
 
   private void setNewTargetVersion(long ageMillis) {
     long setAtMillis = SystemTime.instance().monotonicMillis() - ageMillis;
-    TargetWeights named = TargetWeights.NONE.with(Map.of(MODEL, NEW_WEIGHTS), setAtMillis);
-    blackboard.weights().publish(named, setAtMillis);
+    TargetWeights targets = TargetWeights.NONE.with(Map.of(MODEL, NEW_WEIGHTS), setAtMillis);
+    blackboard.weights().publish(targets, setAtMillis);
   }
 
   @AfterMethod(alwaysRun = true)
@@ -194,7 +194,7 @@
   }
 
   @Test
-  public void anotherRelayIsAskedIfTheCoordinatorDoesNotAnswer() throws Exception {
+  public void anotherRelayIsQueriedIfTheCoordinatorDoesNotAnswer() throws Exception {
     addRelay("senior", false);
     addRelay("junior", true);
     assertEquals(place().origin(), new Placement.Origin("junior", 1));
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/RateLimitedBackend.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/RateLimitedBackend.java
@@ -71,7 +71,7 @@
   }
 
   /** Records that a node has received a response. */
-  void onAnswerReceived(String node, AdvertisedRate received, long now) {
+  void onResponseReceived(String node, AdvertisedRate received, long now) {
     if (received instanceof AdvertisedRate.Limited) {
       rateReceivedAt.putIfAbsent(node, now);
     }
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/RateSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/RateSimulation.java
@@ -25,7 +25,7 @@
 /**
  * Simulates many nodes on a network in front of backends that advertise rates. Time, messages,
  * clocks and backends are simulated; the election of relays and the exchange, lending and counting
- * of rates run the code of the product.
+ * of rates run the production code.
  */
 final class RateSimulation {
 
@@ -35,7 +35,7 @@
   private static final long UPKEEP_MILLIS = 500;
   private static final long MAX_PROOF_AGE_MILLIS = 2_000;
   private static final long ANSWER_TIMEOUT_MILLIS = 40;
-  private static final int MAX_UNANSWERED_QUESTIONS = 3;
+  private static final int MAX_UNANSWERED_QUERIES = 3;
   private static final long LINK_MICROS = 1_000;
   private static final int JITTER_MICROS = 3_000;
   private static final int SERVICE_MICROS = 80_000;
@@ -55,7 +55,7 @@
     private BackendRates rates;
     private RateExchange exchange;
     private long incarnation;
-    private int unansweredQuestions;
+    private int unansweredQueries;
     private long frozenUntilMicros;
     private long partitionedAtMillis = Long.MAX_VALUE;
     private boolean servedBefore;
@@ -215,13 +215,13 @@
     }
 
     private void arrive() {
-      asked++;
+      arrivedRequests++;
       election
           .coordinator(monotonicMillis())
-          .ifPresentOrElse(relay -> ask(byId.get(relay.id()), false), this::decide);
+          .ifPresentOrElse(relay -> sendQuery(byId.get(relay.id()), false), this::decide);
     }
 
-    private void ask(Node relay, boolean isRepeat) {
+    private void sendQuery(Node relay, boolean isRepeat) {
       long current = incarnation;
       boolean[] answered = {false};
       deliver(
@@ -236,7 +236,7 @@
                 () -> {
                   if (!answered[0] && incarnation == current) {
                     answered[0] = true;
-                    unansweredQuestions = 0;
+                    unansweredQueries = 0;
                     onAnswer(relay, chosen, isGranted);
                   }
                 });
@@ -273,8 +273,8 @@
     }
 
     private void onTimeout(Node relay, boolean isRepeat) {
-      if (++unansweredQuestions >= MAX_UNANSWERED_QUESTIONS) {
-        unansweredQuestions = 0;
+      if (++unansweredQueries >= MAX_UNANSWERED_QUERIES) {
+        unansweredQueries = 0;
         election.markUnresponsive(relay.id, monotonicMillis());
       }
       Optional<Node> next =
@@ -285,7 +285,7 @@
       if (isRepeat || next.isEmpty()) {
         decide();
       } else {
-        ask(next.get(), true);
+        sendQuery(next.get(), true);
       }
     }
 
@@ -324,7 +324,7 @@
         RateLimitedBackend backend, String target, AdvertisedRate rate, long sentAt) {
       if (!isEarlierVersion) {
         if (backend.id().equals(target)) {
-          backend.onAnswerReceived(id, rate, time.monotonicMillis());
+          backend.onResponseReceived(id, rate, time.monotonicMillis());
         }
         rates.recordAnswer(target, rate, sentAt);
       }
@@ -341,7 +341,7 @@
   /** One message in this many is lost. */
   int oneLostIn = 100;
 
-  int asked;
+  int arrivedRequests;
   int refused;
   long messages;
 
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/RateSimulationTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/RateSimulationTest.java
@@ -25,7 +25,7 @@
   /** Number of backends that advertise a rate; the others take the remaining requests. */
   private static final int LIMITED = 4;
 
-  /** Least fraction of the allowed requests that is served without faults. */
+  /** Minimum fraction of the allowed requests that is served without faults. */
   private static final double MIN_PASSED = 0.9;
 
   /** Faults that are injected one at a time and in pairs. */
@@ -83,7 +83,7 @@
    * nodes, one of which placed the requests of all, ran an earlier version without rates while
    * rates changed. A backend that takes 0.05 requests a second got 7.7 in four seconds, where 5.3
    * are tolerated: the other nodes had not received its rate for fifteen seconds and took the
-   * choice of the placing node, which knew nothing of rates, as a sign that the rate had ended.
+   * choice of the placing node, which did not support rates, as a sign that the rate had ended.
    */
   @Test
   public void aChoiceOfARelayOfAnEarlierVersionDoesNotEndARate() {
@@ -96,8 +96,8 @@
   public void nodesThatExceedARateThatTheyReceivedAreDetected() {
     RateLimitedBackend backend = new RateLimitedBackend("i-1");
     backend.advertise(PER_SECOND, 0);
-    backend.onAnswerReceived("node-1", backend.advertisedRate(), 0);
-    backend.onAnswerReceived("node-2", backend.advertisedRate(), 0);
+    backend.onResponseReceived("node-1", backend.advertisedRate(), 0);
+    backend.onResponseReceived("node-2", backend.advertisedRate(), 0);
     for (int request = 0; request < 29; request++) {
       backend.onRequest(request % 2 == 0 ? "node-1" : "node-2", 600 + request * 100);
     }
@@ -143,7 +143,7 @@
     return new Result(
         worst,
         served / allowed,
-        (double) simulation.refused / simulation.asked,
+        (double) simulation.refused / simulation.arrivedRequests,
         simulation.messages);
   }
 
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/RelayElectionTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/RelayElectionTest.java
@@ -43,7 +43,7 @@
   private long now;
   private int knownNodes;
 
-  /** Time by which the answers of the store lag behind. */
+  /** Time by which the responses of the store lag behind. */
   private long storeLagMillis;
 
   private void startNodes(int count, int preferred, long seed) {
@@ -71,8 +71,8 @@
 
   private void tick(Node node) {
     boolean wasServing = node.election.isServing();
-    boolean answered = storeLagMillis == 0 || (now + node.id.hashCode()) % STORE_WAIT < TICK;
-    if (wasServing && node.reachesStore && answered) {
+    boolean responded = storeLagMillis == 0 || (now + node.id.hashCode()) % STORE_WAIT < TICK;
+    if (wasServing && node.reachesStore && responded) {
       node.provenAtMillis = Math.max(node.provenAtMillis, now - storeLagMillis);
     }
     // Each node reads the clock a little late, so that no two nodes see the same time.
@@ -115,11 +115,11 @@
   }
 
   /**
-   * Each change of the coordinator loses what the former one knew of loads and cached prompts.
-   * Guards against frequent changes: a third of a fleet was isolated from all other nodes, and the
-   * store's answers lagged by seconds for a while; the other nodes switched between four relays and
-   * none, twice a second, since the proofs of the relays were alternately a little younger and a
-   * little older than the bound.
+   * Each change of the coordinator loses the state of the previous one, such as loads and cached
+   * prompts. Guards against frequent changes: a third of a fleet was isolated from all other nodes,
+   * and the store's responses lagged by seconds for a while; the other nodes switched between four
+   * relays and none, twice a second, since the proofs of the relays were alternately a little
+   * younger and a little older than the bound.
    */
   @Test
   public void nodesKeepTheirRelayWhileOthersAreCutOffAndTheStoreIsBehind() {
--- a/gateway/src/test/java/org/lockdale/gateway/table/StoreClockTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/table/StoreClockTest.java
@@ -10,7 +10,7 @@
 public final class StoreClockTest {
 
   @Test
-  public void nothingIsProvenBeforeTheFirstAnswer() {
+  public void nothingIsProvenBeforeTheFirstResponse() {
     assertTrue(new StoreClock().localMillis(5_000) < -1_000_000_000L);
   }
 
--- a/gateway/src/test/java/org/lockdale/gateway/table/TableCopyTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/table/TableCopyTest.java
@@ -16,21 +16,21 @@
     return new TableRowChange(key, new byte[] {(byte) version}, version, removed);
   }
 
-  private static Map<String, TableRowChange> whole(TableRowChange... rows) {
-    Map<String, TableRowChange> whole = new HashMap<>();
+  private static Map<String, TableRowChange> allRows(TableRowChange... rows) {
+    Map<String, TableRowChange> allRows = new HashMap<>();
     for (TableRowChange row : rows) {
-      whole.put(row.key(), row);
+      allRows.put(row.key(), row);
     }
-    return whole;
+    return allRows;
   }
 
   @Test
   public void changesAfterAVersionContainRowsAndRemovals() {
     TableCopy copy = new TableCopy();
-    copy.replace(whole(row("a", 1, false), row("b", 2, false)), 4);
+    copy.replace(allRows(row("a", 1, false), row("b", 2, false)), 4);
     copy.apply(List.of(row("a", 5, true), row("c", 6, false)));
     TableChanges changes = copy.changesAfter(4);
-    assertEquals(changes.whole(), false);
+    assertEquals(changes.complete(), false);
     assertEquals(changes.lastChange(), 6);
     assertEquals(changes.rows().size(), 2);
     assertEquals(copy.changesAfter(5).rows(), List.of(row(copy, "c")));
@@ -43,36 +43,36 @@
   @Test
   public void allRowsAreReturnedIfOlderChangesAreNotHeld() {
     TableCopy copy = new TableCopy();
-    copy.replace(whole(row("a", 1, false)), 4);
-    assertEquals(copy.changesAfter(3).whole(), true);
+    copy.replace(allRows(row("a", 1, false)), 4);
+    assertEquals(copy.changesAfter(3).complete(), true);
     assertEquals(copy.changesAfter(-1).rows().size(), 1);
   }
 
   @Test
   public void anOlderScanRemovesNoRowsAndRestoresNone() {
     TableCopy copy = new TableCopy();
-    copy.replace(whole(row("a", 1, false), row("b", 2, false)), 4);
+    copy.replace(allRows(row("a", 1, false), row("b", 2, false)), 4);
     copy.apply(List.of(row("b", 5, true), row("c", 6, false)));
-    copy.replace(whole(row("a", 1, false), row("b", 2, false)), 4);
+    copy.replace(allRows(row("a", 1, false), row("b", 2, false)), 4);
     assertEquals(copy.rows().keySet(), java.util.Set.of("a", "c"));
     assertEquals(copy.lastChange(), 6);
   }
 
   /**
    * Guards against rows from before a restore of the store. After a restore from an older copy, a
-   * scan of the former era may be applied after one of the new era, for example if its pages
+   * scan of the earlier era may be applied after one of the new era, for example if its pages
    * arrived in turn with those of the other. It added rows that the new era lacks, such as a
    * removed server or a revoked key, and they stayed for good.
    */
   @Test
-  public void changesFromAFormerEraAreIgnored() {
-    long former = new StoreVersion(0, 100).packed();
+  public void changesFromAnEarlierEraAreIgnored() {
+    long earlier = new StoreVersion(0, 100).packed();
     long present = new StoreVersion(1, 90).packed();
     TableCopy copy = new TableCopy();
-    copy.replace(whole(row("a", present - 1, false)), present);
-    copy.replace(whole(row("a", former - 2, false), row("lost", former - 1, false)), former);
+    copy.replace(allRows(row("a", present - 1, false)), present);
+    copy.replace(allRows(row("a", earlier - 2, false), row("lost", earlier - 1, false)), earlier);
     assertEquals(copy.rows().keySet(), java.util.Set.of("a"));
-    copy.apply(List.of(row("lost", former - 1, false), row("a", former, true)));
+    copy.apply(List.of(row("lost", earlier - 1, false), row("a", earlier, true)));
     assertEquals(copy.rows().keySet(), java.util.Set.of("a"));
     assertEquals(copy.lastChange(), present);
   }
--- a/gateway/src/test/java/org/lockdale/gateway/table/TableCopyTransferTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/table/TableCopyTransferTest.java
@@ -12,12 +12,12 @@
 /**
  * Guards against relays that saturate their links with copies of tables. With 300 nodes and 3,000
  * servers, a relay sent 13.6 MB/s for a whole day, 78 times as much as with 30 nodes; a
- * configuration took effect 6.7 s late, and most requests were refused.
+ * configuration took effect 6.7 s late, and most requests were rejected.
  *
  * <p>A relay that has just scanned a table doesn't know which rows were removed before the scan. It
  * would send all rows to each node whose copy is older by one change, although such a node lacks
- * hardly any. After a start of all nodes that is every second node, and again after each change of
- * relays.
+ * hardly any. After a start of all nodes, and again after each change of relays, that is every
+ * second node.
  */
 public final class TableCopyTransferTest {
 
--- a/gateway/src/test/java/org/lockdale/gateway/table/TableFollowerTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/table/TableFollowerTest.java
@@ -51,11 +51,11 @@
 
   private ScriptedFeed feed;
   private final List<Long> peerCalls = new ArrayList<>();
-  private final Deque<CompletableFuture<TablePeers.Answer>> peerAnswers = new ArrayDeque<>();
+  private final Deque<CompletableFuture<TablePeers.Response>> peerResponses = new ArrayDeque<>();
   private final TablePeers peers =
       (peer, table, afterChange) -> {
         peerCalls.add(afterChange);
-        return peerAnswers.poll();
+        return peerResponses.poll();
       };
   private StoreClock clock;
   private BlockingQueue<Map<String, String>> copies;
@@ -69,7 +69,7 @@
     feed = new ScriptedFeed();
     copies = new LinkedBlockingQueue<>();
     peerCalls.clear();
-    peerAnswers.clear();
+    peerResponses.clear();
   }
 
   @AfterMethod(alwaysRun = true)
@@ -160,7 +160,8 @@
     assertTrue(announce(follower, 5));
     assertEquals(nextCopy(), Map.of("a", "1"));
     TableChanges changes = new TableChanges(false, 7, List.of(row("b", "2", 7)));
-    peerAnswers.add(CompletableFuture.completedFuture(new TablePeers.Answer(changes, 1_100, 3)));
+    peerResponses.add(
+        CompletableFuture.completedFuture(new TablePeers.Response(changes, 1_100, 3)));
     assertTrue(announce(follower, 7));
     assertEquals(nextCopy(), Map.of("a", "1", "b", "2"));
     assertEquals(peerCalls, List.of(5L));
@@ -172,7 +173,7 @@
     feed.scans.add(page(false, 5, row("a", "1", 1)));
     TableFollower follower = follow(false);
     nextCopy();
-    peerAnswers.add(CompletableFuture.failedFuture(new TransferTooLargeException("table")));
+    peerResponses.add(CompletableFuture.failedFuture(new TransferTooLargeException("table")));
     feed.changes.add(
         page(false, 9, row("b", "2", 6), new TableRowChange("a", new byte[0], 7, true)));
     assertTrue(announce(follower, 8));
@@ -188,9 +189,10 @@
     feed.scans.add(page(false, 5, row("a", "1", 1)));
     TableFollower follower = follow(false);
     nextCopy();
-    TableChanges whole = new TableChanges(true, 8, List.of(row("b", "2", 6)));
-    peerAnswers.add(CompletableFuture.failedFuture(new TransferTooLargeException("table")));
-    peerAnswers.add(CompletableFuture.completedFuture(new TablePeers.Answer(whole, 1_100, 3)));
+    TableChanges allRows = new TableChanges(true, 8, List.of(row("b", "2", 6)));
+    peerResponses.add(CompletableFuture.failedFuture(new TransferTooLargeException("table")));
+    peerResponses.add(
+        CompletableFuture.completedFuture(new TablePeers.Response(allRows, 1_100, 3)));
     feed.changes.add(failure(TableServiceException.Kind.UNREACHABLE));
     assertTrue(announce(follower, 8));
     assertEquals(nextCopy(), Map.of("b", "2"));
@@ -202,10 +204,11 @@
     feed.scans.add(page(false, 5, row("a", "1", 1)));
     TableFollower follower = follow(false);
     nextCopy();
-    peerAnswers.add(CompletableFuture.failedFuture(new IllegalStateException("down")));
+    peerResponses.add(CompletableFuture.failedFuture(new IllegalStateException("down")));
     assertFalse(announce(follower, 6));
-    TableChanges whole = new TableChanges(true, 9, List.of(row("c", "3", 9)));
-    peerAnswers.add(CompletableFuture.completedFuture(new TablePeers.Answer(whole, 1_100, 3)));
+    TableChanges allRows = new TableChanges(true, 9, List.of(row("c", "3", 9)));
+    peerResponses.add(
+        CompletableFuture.completedFuture(new TablePeers.Response(allRows, 1_100, 3)));
     assertTrue(announce(follower, 9));
     assertEquals(nextCopy(), Map.of("c", "3"), "rows that the whole table lacks are removed");
   }
@@ -213,8 +216,9 @@
   @Test
   public void aNodeThatStartsDuringAnOutageReadsFromARelay() throws Exception {
     TableFollower follower = follow(false);
-    TableChanges whole = new TableChanges(true, 9, List.of(row("c", "3", 9)));
-    peerAnswers.add(CompletableFuture.completedFuture(new TablePeers.Answer(whole, 1_100, 50)));
+    TableChanges allRows = new TableChanges(true, 9, List.of(row("c", "3", 9)));
+    peerResponses.add(
+        CompletableFuture.completedFuture(new TablePeers.Response(allRows, 1_100, 50)));
     long sentAt = SystemTime.instance().monotonicMillis();
     assertTrue(announce(follower, 9));
     assertEquals(nextCopy(), Map.of("c", "3"));
