--- a/gateway/src/main/java/org/lockdale/gateway/command/GatewayCommand.java
+++ b/gateway/src/main/java/org/lockdale/gateway/command/GatewayCommand.java
@@ -23,7 +23,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs a gateway node until the process is asked to stop; SIGTERM starts a planned stop. */
+/** Runs a gateway node until the process receives a stop signal; SIGTERM starts a planned stop. */
 @Command(
     name = "lockdale-gateway",
     mixinStandardHelpOptions = true,
@@ -80,8 +80,8 @@
   private boolean trainingRun;
 
   /**
-   * Monotonic time at which the process started, as far as it can tell: the command is created
-   * first.
+   * Monotonic time that serves as the start of the process: that of creating the command, which is
+   * done first.
    */
   private final long startedAtMillis = SystemTime.instance().monotonicMillis();
 
--- a/gateway/src/main/java/org/lockdale/gateway/command/TrainingEnvironment.java
+++ b/gateway/src/main/java/org/lockdale/gateway/command/TrainingEnvironment.java
@@ -18,6 +18,6 @@
    */
   HttpHandler standIn(InetSocketAddress address);
 
-  /** Returns one request of each kind that callers send; each must be answered with success. */
+  /** Returns one request of each kind that callers send; each must get a successful response. */
   List<HttpRequestMessage> requests();
 }
--- a/gateway/src/main/java/org/lockdale/gateway/command/TrainingRun.java
+++ b/gateway/src/main/java/org/lockdale/gateway/command/TrainingRun.java
@@ -74,7 +74,7 @@
    * @param adapters creates the adapters of the deployment from the settings
    * @param environment simulates the rest of the deployment
    * @throws IllegalStateException if a node does not become ready, or if no request of some path
-   *     was answered with success
+   *     got a successful response
    */
   static void run(
       Function<GatewaySettings, BiFunction<EventLoopGroup, HttpClient, GatewayProtocols>> adapters,
