--- a/gateway/src/main/java/org/lockdale/gateway/limit/LimitRelaySelector.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/LimitRelaySelector.java
@@ -6,9 +6,9 @@
 
 /**
  * Selects the limit relay: the relay node that decides on limits. The level of the buckets of a
- * relay depends on the shares that it has held over time, so a relay that holds most shares is
- * preferred over a more senior one that has returned. At most one relay can hold more than half of
- * the shares, so all nodes select the same one.
+ * relay depends on the shares that it has held over time, so a relay that holds the majority of the
+ * shares is preferred over a more senior one that has returned. At most one relay can hold more
+ * than half of the shares, so all nodes select the same one.
  */
 public final class LimitRelaySelector {
 
--- a/gateway/src/main/java/org/lockdale/gateway/limit/RetryBudget.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/RetryBudget.java
@@ -8,8 +8,8 @@
 import java.util.function.IntSupplier;
 
 /**
- * Limits the retries at each pool within a sliding window to a fraction of this node's own requests
- * for the pool, plus this node's share of a fixed allowance. As every node keeps to its share, all
+ * Limits the retries at each pool within a sliding window to a fraction of this node's requests for
+ * the pool, plus this node's share of a fixed allowance. As every node keeps to its share, all
  * nodes together keep to the budget of the deployment without exchanging messages. Thread-safe.
  */
 public final class RetryBudget {
--- a/gateway/src/main/java/org/lockdale/gateway/limit/ShareLender.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/ShareLender.java
@@ -85,11 +85,11 @@
    * Processes the confirmation that a relay no longer uses the share of a loan. Ignored if it is
    * not about the latest loan.
    */
-  public void released(String relay, long life, long sentAtMillis, long nowMillis) {
+  public void released(String relay, long incarnation, long sentAtMillis, long nowMillis) {
     Heartbeat latest = lent;
     if (latest != null
         && latest.relay().equals(relay)
-        && latest.incarnation() == life
+        && latest.incarnation() == incarnation
         && latest.sentAtMillis() == sentAtMillis) {
       lent = null;
       lentUntilMillis = Math.min(lentUntilMillis, nowMillis);
--- a/gateway/src/main/java/org/lockdale/gateway/rate/AdvertisedRates.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/AdvertisedRates.java
@@ -10,15 +10,15 @@
 import org.lockdale.gateway.backend.AdvertisedRate;
 
 /**
- * The rate limits that backends advertise in their answers. Answers arrive out of order, so an
- * answer counts as later than another only if its request was sent after the other answer had been
- * received, which implies that it was written later. Among answers that may have been written in
- * either order the lowest rate applies, and an answer without a rate ends none. Performs no I/O;
- * the time is passed in. Not thread-safe.
+ * The rate limits that backends advertise in their responses. Responses arrive out of order, so an
+ * response counts as later than another only if its request was sent after the other response had
+ * been received, which implies that it was written later. Among responses that may have been
+ * written in either order the lowest rate applies, and a response without a rate ends none.
+ * Performs no I/O; the time is passed in. Not thread-safe.
  */
 public final class AdvertisedRates {
 
-  /** Effect of an answer on the rate limit of its backend. */
+  /** Effect of a response on the rate limit of its backend. */
   public enum Change {
     /** The rate limit did not change. */
     NONE,
@@ -29,7 +29,7 @@
   }
 
   /**
-   * Time for which an ended limit is remembered, since answers from before its end may still
+   * Time for which an ended limit is remembered, since responses from before its end may still
    * arrive, in milliseconds.
    */
   private static final long ENDED_RETENTION_MILLIS = 10_000;
@@ -37,12 +37,12 @@
   private static final double NO_LIMIT = Double.POSITIVE_INFINITY;
 
   /**
-   * A rate limit, or its absence, as observed in an answer.
+   * A rate limit, or its absence, as observed in a response.
    *
    * @param perSecond requests per second that the backend accepts, or positive infinity for no
    *     limit
    * @param sentAtMillis monotonic time at which the request was sent
-   * @param receivedAtMillis monotonic time at which the first part of the answer was received
+   * @param receivedAtMillis monotonic time at which the first part of the response was received
    */
   public record Observation(double perSecond, long sentAtMillis, long receivedAtMillis) {
 
@@ -63,15 +63,16 @@
   private final Map<String, List<Observation>> latest = new HashMap<>();
 
   /**
-   * Processes the rate limit of an answer. An unreadable rate changes nothing: a backend with a
-   * limit keeps it, and one that never advertised a limit would be cut off by a mistake.
+   * Processes the rate limit of a response. An unreadable rate changes nothing: a backend with a
+   * limit keeps it, and one that never advertised a limit must not be limited by a mistake.
    *
    * @param backend text form of the backend's incarnation
-   * @param rate rate limit in the answer
+   * @param rate rate limit in the response
    * @param sentAtMillis monotonic time at which the request was sent
-   * @param heardAtMillis monotonic time at which the first part of the answer was received
+   * @param receivedAtMillis monotonic time at which the first part of the response was received
    */
-  public Change record(String backend, AdvertisedRate rate, long sentAtMillis, long heardAtMillis) {
+  public Change record(
+      String backend, AdvertisedRate rate, long sentAtMillis, long receivedAtMillis) {
     boolean limited = rate instanceof AdvertisedRate.Limited;
     boolean readable = limited || rate instanceof AdvertisedRate.None;
     if (!readable || !limited && !latest.containsKey(backend)) {
@@ -79,7 +80,7 @@
     }
     double perSecond = rate instanceof AdvertisedRate.Limited limit ? limit.perSecond() : NO_LIMIT;
     double before = rateOf(backend);
-    add(backend, new Observation(perSecond, sentAtMillis, heardAtMillis));
+    add(backend, new Observation(perSecond, sentAtMillis, receivedAtMillis));
     double after = rateOf(backend);
     if (after == before) {
       return Change.NONE;
@@ -101,7 +102,7 @@
   }
 
   /**
-   * Returns the lowest rate limit among the latest answers of a backend, or empty if it has none.
+   * Returns the lowest rate limit among the latest responses of a backend, or empty if it has none.
    */
   public Optional<Observation> lowest(String backend) {
     return lowestOf(latest.getOrDefault(backend, List.of()));
@@ -124,7 +125,8 @@
   }
 
   /**
-   * Returns the lowest rate limit among the latest answers, by backend, of those that have a limit.
+   * Returns the lowest rate limit among the latest responses, by backend, of those that have a
+   * limit.
    */
   public Map<String, Observation> limited() {
     Map<String, Observation> limited = new HashMap<>();
--- a/gateway/src/main/java/org/lockdale/gateway/rate/BackendRates.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/BackendRates.java
@@ -16,22 +16,26 @@
  */
 public final class BackendRates {
 
-  /** Receives the rate limits in the answers to this node, on any thread. */
+  /** Receives the rate limits in the responses to this node, on any thread. */
   @FunctionalInterface
   public interface Listener {
 
     /**
-     * Called when an answer advertises a rate, or none though its backend advertised one until
+     * Called when a response advertises a rate, or none although its backend advertised one until
      * recently.
      *
      * @param backend text form of the backend's incarnation
-     * @param rate rate limit in the answer
+     * @param rate rate limit in the response
      * @param sentAtMillis monotonic time at which the request was sent
-     * @param heardAtMillis monotonic time at which the first part of the answer was received
-     * @param isNews whether the answer changed the rate limit known to this node
+     * @param receivedAtMillis monotonic time at which the first part of the response was received
+     * @param isNew whether the response changed the rate limit known to this node
      */
     void onAdvertisedRate(
-        String backend, AdvertisedRate rate, long sentAtMillis, long heardAtMillis, boolean isNews);
+        String backend,
+        AdvertisedRate rate,
+        long sentAtMillis,
+        long receivedAtMillis,
+        boolean isNew);
   }
 
   /**
@@ -49,8 +53,8 @@
   private static final int MAX_LOGGED = 16;
 
   /**
-   * Rate at which callers are told to retry after a backoff. What a backend accepts then is
-   * unknown; this spreads the callers, and delays few of them.
+   * Rate at which the retries of callers are scheduled after a backoff. How much a backend accepts
+   * then is unknown; this rate spreads the callers, and delays few of them.
    */
   private static final double RETRIES_AFTER_BACKOFF_PER_SECOND = 50;
 
@@ -60,7 +64,7 @@
   private final RetryAfterSchedule retrySchedule = new RetryAfterSchedule();
   private final Map<String, Long> sends = new HashMap<>();
   private final Map<String, Long> loggedSends = new HashMap<>();
-  private volatile Listener listener = (backend, rate, sentAt, receivedAt, isNews) -> {};
+  private volatile Listener listener = (backend, rate, sentAt, receivedAt, isNew) -> {};
   private long loggedAtMillis;
   private long delays;
 
@@ -73,16 +77,16 @@
     this.allowances = new RateAllowances(time.monotonicMillis());
   }
 
-  /** Sets the listener for answers to this node, in place of any former one. */
+  /** Sets the listener for responses to this node, in place of any former one. */
   public void setListener(Listener newListener) {
     listener = newListener;
   }
 
   /**
-   * Processes the rate limit of an answer to this node.
+   * Processes the rate limit of a response to this node.
    *
    * @param backend text form of the backend's incarnation
-   * @param rate rate limit in the answer
+   * @param rate rate limit in the response
    * @param sentAtMillis monotonic time at which the request was sent
    */
   public void recordAnswer(String backend, AdvertisedRate rate, long sentAtMillis) {
@@ -95,27 +99,31 @@
     }
     long now = time.monotonicMillis();
     // Also notified for some time after a limit ended: a relay that did not receive the first
-    // answer without one would keep it.
+    // response without one would keep it.
     boolean notifies = rate instanceof AdvertisedRate.Limited || isKnown(backend);
-    boolean isNews = record(backend, rate, sentAtMillis, now, "answer");
+    boolean isNew = record(backend, rate, sentAtMillis, now, "answer");
     if (notifies) {
-      listener.onAdvertisedRate(backend, rate, sentAtMillis, now, isNews);
+      listener.onAdvertisedRate(backend, rate, sentAtMillis, now, isNew);
     }
   }
 
   /**
-   * Processes the rate limit of an answer to another node.
+   * Processes the rate limit of a response to another node.
    *
    * @param sender id of the node that reported it
    * @param backend text form of the backend's incarnation
-   * @param rate rate limit in the answer
+   * @param rate rate limit in the response
    * @param sentAtMillis monotonic time before which the request was sent
-   * @param heardAtMillis monotonic time at which the first part of the answer was received
-   * @return whether the answer changed the rate limit known to this node
+   * @param receivedAtMillis monotonic time at which the first part of the response was received
+   * @return whether the response changed the rate limit known to this node
    */
   public boolean recordReport(
-      String sender, String backend, AdvertisedRate rate, long sentAtMillis, long heardAtMillis) {
-    return record(backend, rate, sentAtMillis, heardAtMillis, sender);
+      String sender,
+      String backend,
+      AdvertisedRate rate,
+      long sentAtMillis,
+      long receivedAtMillis) {
+    return record(backend, rate, sentAtMillis, receivedAtMillis, sender);
   }
 
   private synchronized boolean record(
@@ -139,7 +147,7 @@
         Logger.info("event=rate-ended backend={} source={}", backend, source);
       }
       default -> {
-        // Most answers repeat the rate of the previous one.
+        // Most responses repeat the rate of the previous one.
       }
     }
     return change != AdvertisedRates.Change.NONE;
@@ -155,7 +163,7 @@
   }
 
   /**
-   * Returns whether a backend advertises a rate and the answer that determines it was received
+   * Returns whether a backend advertises a rate and the response that determines it was received
    * recently.
    */
   public boolean wasRecentlyAdvertised(String backend) {
@@ -166,7 +174,8 @@
   }
 
   /**
-   * Returns the lowest rate among the latest answers of a backend, or empty if it advertises none.
+   * Returns the lowest rate among the latest responses of a backend, or empty if it advertises
+   * none.
    */
   public synchronized Optional<AdvertisedRates.Observation> advertisedRate(String backend) {
     return advertised.lowest(backend);
@@ -177,7 +186,9 @@
     return anyKnown && !limited().isEmpty();
   }
 
-  /** Returns the lowest rate among the latest answers, by backend, of those that advertise one. */
+  /**
+   * Returns the lowest rate among the latest responses, by backend, of those that advertise one.
+   */
   public synchronized Map<String, AdvertisedRates.Observation> limited() {
     return advertised.limited();
   }
--- a/gateway/src/main/java/org/lockdale/gateway/rate/RateAllowances.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/RateAllowances.java
@@ -14,7 +14,7 @@
  */
 public final class RateAllowances {
 
-  private static final double WHOLE_REQUEST = 1;
+  private static final double ONE_REQUEST = 1;
 
   /** Rounding error of sums of small gains. */
   private static final double ROUNDING = 1e-6;
@@ -82,7 +82,7 @@
     }
     advance(nowMillis);
     bucket.settle(shareMillis, shares.share());
-    return bucket.level >= WHOLE_REQUEST - ROUNDING;
+    return bucket.level >= ONE_REQUEST - ROUNDING;
   }
 
   /**
@@ -96,7 +96,7 @@
     }
     Bucket bucket = buckets.get(backend);
     if (bucket != null) {
-      bucket.level -= WHOLE_REQUEST;
+      bucket.level -= ONE_REQUEST;
     }
     return true;
   }
@@ -111,9 +111,9 @@
     }
     Bucket bucket = buckets.get(backend);
     double share = shares.share();
-    return bucket.bound.capacity(share) < WHOLE_REQUEST - ROUNDING
+    return bucket.bound.capacity(share) < ONE_REQUEST - ROUNDING
         ? Double.POSITIVE_INFINITY
-        : (WHOLE_REQUEST - bucket.level) / bucket.bound.gain(share);
+        : (ONE_REQUEST - bucket.level) / bucket.bound.gain(share);
   }
 
   /**
--- a/gateway/src/main/java/org/lockdale/gateway/rate/RateBound.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/RateBound.java
@@ -3,7 +3,7 @@
 /**
  * Limit on what a node may send to a backend that advertises a rate. The shares of all nodes sum up
  * to at most 1, so in any period all nodes together send at most the rate times the period, plus
- * the {@link #capacity} of a whole share.
+ * the {@link #capacity} of a full share.
  *
  * @param perSecond requests per second that all nodes together may send
  */
@@ -11,7 +11,7 @@
 
   /**
    * Minimum rate. A backend that accepts nothing is sent an occasional request, since only an
-   * answer can show that it accepts requests again.
+   * response can show that it accepts requests again.
    */
   private static final double MIN_PER_SECOND = 0.25;
 
@@ -51,7 +51,7 @@
 
   /**
    * Returns the maximum number of requests that a share accumulates. The share of an isolated node,
-   * as in a network partition, may be too small to ever accumulate one whole request. It may still
+   * as in a network partition, may be too small to ever accumulate one full request. It may still
    * accumulate one if all isolated nodes together do not exceed what the backend tolerates.
    */
   double capacity(double share) {
--- a/gateway/src/main/java/org/lockdale/gateway/rate/RetryAfterSchedule.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/RetryAfterSchedule.java
@@ -14,7 +14,7 @@
   /** Maximum retry time; rates and servers may change meanwhile. */
   static final long MAX_WAIT_MILLIS = 5_000;
 
-  /** Minimum retry time, as the answer has to reach the caller first. */
+  /** Minimum retry time, as the response has to reach the caller first. */
   static final long MIN_WAIT_MILLIS = 50;
 
   /** Callers whose time would exceed the maximum are spread over this last fraction of it. */
--- a/gateway/src/main/java/org/lockdale/gateway/rate/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/package-info.java
@@ -1,4 +1,4 @@
-/** Rate limits that backends advertise in their answers, which apply to all nodes together. */
+/** Rate limits that backends advertise in their responses, which apply to all nodes together. */
 @NullMarked
 package org.lockdale.gateway.rate;
 
--- a/gateway/src/main/java/org/lockdale/gateway/request/Attempt.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/Attempt.java
@@ -23,13 +23,13 @@
 import org.lockdale.http.HttpResponseListener;
 
 /**
- * One attempt at one backend. A plain answer is buffered until it is complete, so that a broken one
- * never reaches the caller; a stream is forwarded event by event. Confined to the event loop of the
- * caller's connection.
+ * One attempt at one backend. A plain response is buffered until it is complete, so that a broken
+ * one never reaches the caller; a stream is forwarded event by event. Confined to the event loop of
+ * the caller's connection.
  */
 final class Attempt implements HttpResponseListener {
 
-  private static final int MAX_ANSWER_BYTES = 16 * 1024 * 1024;
+  private static final int MAX_RESPONSE_BYTES = 16 * 1024 * 1024;
   private static final long NOT_STARTED = -1;
 
   private final RequestState state;
@@ -120,7 +120,7 @@
   }
 
   /**
-   * Abandons an attempt whose answer has not started, and reports it as failed: the backend may
+   * Abandons an attempt whose response has not started, and reports it as failed: the backend may
    * have received the request.
    */
   void abandonWaiting(String reason) {
@@ -141,10 +141,10 @@
     }
   }
 
-  /** Returns whether no event of the answer was received yet. */
+  /** Returns whether no event of the response was received yet. */
   boolean isWaiting() {
     StreamForwarder stream = forwarder;
-    return stream == null || !stream.hasBegun();
+    return stream == null || !stream.hasStarted();
   }
 
   /** Returns the time since anything was received from the backend, in milliseconds. */
@@ -152,17 +152,17 @@
     return time.steadyMillis() - lastReceivedAtMillis;
   }
 
-  /** Returns how the answer was lost before it was complete; null if it was not lost. */
+  /** Returns how the response was lost before it was complete; null if it was not lost. */
   LostAttempt.@Nullable Loss loss() {
     return loss;
   }
 
   /**
-   * Returns for how long the answer has been arriving, in milliseconds: 0 before the first event of
-   * a stream. The start of other answers is not visible, so their time counts from sending the
+   * Returns for how long the response has been arriving, in milliseconds: 0 before the first event
+   * of a stream. The start of other responses is not visible, so their time counts from sending the
    * request.
    */
-  long answerMillis() {
+  long responseMillis() {
     boolean streams = state.route().kind() == RouteKind.STREAM;
     long since = streams ? startedAtMillis : sentAtMillis;
     return since == NOT_STARTED ? 0 : time.steadyMillis() - since;
@@ -190,7 +190,7 @@
     return failure;
   }
 
-  /** Returns the complete failure answer of the backend, or null if there is none. */
+  /** Returns the complete failure response of the backend, or null if there is none. */
   @Nullable HttpReply backendFailureReply() {
     ResponseHead received = head;
     return received == null ? null : new HttpReply(received.status(), received.headers(), bytes());
@@ -234,7 +234,7 @@
     } else if (received.notRun()) {
       finish(AttemptResult.NOT_RUN, "it accepts no requests now");
     } else if (received.isSuccess() && !received.authentic()) {
-      abandon(AttemptResult.FAILED, "its answer has no proof of origin");
+      abandon(AttemptResult.FAILED, "its response has no proof of origin");
     } else if (received.isSuccess() && received.eventStream()) {
       forwarder = new StreamForwarder(state, received, time);
     }
@@ -249,8 +249,8 @@
     StreamForwarder stream = forwarder;
     if (stream != null) {
       forwardPart(stream, content);
-    } else if (body.size() + content.readableBytes() > MAX_ANSWER_BYTES) {
-      abandon(AttemptResult.FAILED, "its answer exceeds the size limit");
+    } else if (body.size() + content.readableBytes() > MAX_RESPONSE_BYTES) {
+      abandon(AttemptResult.FAILED, "its response exceeds the size limit");
     } else {
       byte[] part = new byte[content.readableBytes()];
       content.readBytes(part);
@@ -269,7 +269,7 @@
   private void forwardPart(StreamForwarder stream, ByteBuf content) {
     try {
       stream.accept(content);
-      if (stream.hasBegun() && share.begin()) {
+      if (stream.hasStarted() && share.begin()) {
         startedAtMillis = lastReceivedAtMillis;
         onFirstEvent.run();
       }
@@ -289,7 +289,7 @@
     }
     ResponseHead received = head;
     if (received == null) {
-      finish(AttemptResult.FAILED, "it sent no answer");
+      finish(AttemptResult.FAILED, "it sent no response");
     } else if (forwarder != null) {
       forwarder.end();
       finish(AttemptResult.COMPLETE, "");
@@ -297,9 +297,11 @@
       // Callers take this status as a guarantee that the request was not run, which only the
       // backend itself may give.
       head = null;
-      finish(AttemptResult.FAILED, "it answered " + received.status() + " without a reason");
+      finish(
+          AttemptResult.FAILED,
+          "it responded with status " + received.status() + " without a reason");
     } else if (received.isServerError()) {
-      finish(AttemptResult.FAILED, "it answered " + received.status());
+      finish(AttemptResult.FAILED, "it responded with status " + received.status());
     } else {
       state.exchange.reply(new HttpReply(received.status(), received.headers(), bytes()));
       finish(AttemptResult.COMPLETE, "");
@@ -328,7 +330,7 @@
   }
 
   private AttemptResult brokenResult() {
-    return forwarder != null && state.answerStarted
+    return forwarder != null && state.responseStarted
         ? AttemptResult.BROKEN_OFF
         : AttemptResult.FAILED;
   }
--- a/gateway/src/main/java/org/lockdale/gateway/request/AttemptMonitor.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/AttemptMonitor.java
@@ -17,7 +17,7 @@
   private static final long MIN_SILENCE_MILLIS = 1_000;
 
   /**
-   * Number of gap objectives of silence after which a started answer is considered lost. Callers
+   * Number of gap objectives of silence after which a started response is considered lost. Callers
    * wait for at least eight gap objectives; the other half leaves time to resume.
    */
   private static final int MAX_SILENT_GAPS = 4;
@@ -43,7 +43,7 @@
    * Runs an action once the connection has been silent for too long. A dead connection is not
    * always closed or reset, so silence may be the only sign.
    *
-   * @param waitMillis longest silence before the answer begins, in milliseconds
+   * @param waitMillis longest silence before the response starts, in milliseconds
    * @param onSilent action that may abandon the attempt; if it does not, the attempt goes on
    *     without this check
    */
--- a/gateway/src/main/java/org/lockdale/gateway/request/AttemptObserver.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/AttemptObserver.java
@@ -5,7 +5,7 @@
 /** Observes the progress of attempts. Called from any thread. */
 public interface AttemptObserver {
 
-  /** Called when a request has started to be answered, or has ended. */
+  /** Called when the response to a request has started or the request has ended. */
   void workChanged();
 
   /**
--- a/gateway/src/main/java/org/lockdale/gateway/request/AttemptReporter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/AttemptReporter.java
@@ -98,16 +98,16 @@
                 attempt.target().backend().address(),
                 state.request,
                 state.caller(),
-                attempt.answerMillis(),
+                attempt.responseMillis(),
                 loss,
                 attempt.connectedAtMillis()));
   }
 
   /**
-   * Returns whether a backend answered with a failure after another one had failed too, which is
+   * Returns whether a backend responded with a failure after another one had failed too, which is
    * attributed to the request rather than to the backend. If these counted against backends, those
-   * that receive mostly retries would seem to fail most: 65 to 94% of a service's requests then
-   * went to one of three backends.
+   * that receive mostly retries would seem to fail more often than others: 65 to 94% of a service's
+   * requests then went to one of three backends.
    */
   private boolean isCausedByRequest(Attempt attempt) {
     return state.possibleRuns > 0 && attempt.backendFailureReply() != null;
--- a/gateway/src/main/java/org/lockdale/gateway/request/AttemptResult.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/AttemptResult.java
@@ -2,7 +2,7 @@
 
 /** Result of an attempt at one backend. */
 enum AttemptResult {
-  /** The complete answer was forwarded to the caller. */
+  /** The complete response was forwarded to the caller. */
   COMPLETE,
   /** The request did not leave this node. */
   NOT_SENT,
--- a/gateway/src/main/java/org/lockdale/gateway/request/EndToEndHeaders.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/EndToEndHeaders.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 /**
- * Extracts the end-to-end headers of a request or an answer, without those that concern a single
+ * Extracts the end-to-end headers of a request or a response, without those that concern a single
  * connection only.
  */
 public final class EndToEndHeaders {
@@ -31,7 +31,7 @@
   /**
    * Returns a copy without hop-by-hop headers. A peer may list further hop-by-hop headers in {@code
    * Connection}, but not those that the recipient needs: a caller could otherwise make the gateway
-   * drop the id of its request, or a server the proof of its answer.
+   * drop the id of its request, or a server the proof of its response.
    *
    * @param headers all headers as received
    * @param needed lower-case names of headers that are always treated as end-to-end
--- a/gateway/src/main/java/org/lockdale/gateway/request/PoolWaits.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/PoolWaits.java
@@ -5,7 +5,7 @@
 import org.lockdale.coordination.time.Time;
 
 /**
- * Estimates the waiting times at the pools of this node from the answers of their backends.
+ * Estimates the waiting times at the pools of this node from the responses of their backends.
  * Thread-safe.
  */
 final class PoolWaits {
@@ -20,7 +20,7 @@
   private record Queue(String pool, int priority) {}
 
   /**
-   * Fraction of the remaining time within which the answer has to start; the rest is left to
+   * Fraction of the remaining time within which the response has to start; the rest is left to
    * complete it.
    */
   private static final double MAX_WAIT_FRACTION = 0.7;
@@ -50,9 +50,8 @@
 
   /**
    * Returns whether a placed request is so unlikely to be served in time that it is better refused
-   * now. Both estimates have to show it: that from the tokens queued at its engine does not
-   * recognize engines that have stalled, and that from this node's queue at the pool does not
-   * recognize engines that are free.
+   * now. Both estimates have to show it: that from the tokens queued at its engine misses engines
+   * that have stalled, and that from this node's queue at the pool misses engines that are free.
    */
   boolean cannotMeetDeadline(RequestState state) {
     long left = state.deadlineAtMillis() - time.monotonicMillis();
--- a/gateway/src/main/java/org/lockdale/gateway/request/QueueForecast.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/QueueForecast.java
@@ -3,9 +3,9 @@
 import org.lockdale.coordination.time.Time;
 
 /**
- * Predicts the wait in a queue that this node cannot see, from the number of its own requests in it
- * and the rate at which they start to be served: the number waiting is the rate times the wait
- * (Little's law). A pause is assumed to last as long again as it has lasted so far, so the
+ * Predicts the wait in a queue that this node cannot see, from the number of this node's requests
+ * in it and the rate at which they start to be served: the number waiting is the rate times the
+ * wait (Little's law). A pause is assumed to last as long again as it has lasted so far, so the
  * prediction grows continuously while no request starts. An empty queue predicts no wait. Performs
  * no I/O. Thread-safe.
  */
@@ -35,7 +35,7 @@
     private Place() {}
 
     /** Records that the request starts to be served. */
-    public void begin() {
+    public void recordStart() {
       synchronized (QueueForecast.this) {
         if (!vacated) {
           vacated = true;
--- a/gateway/src/main/java/org/lockdale/gateway/request/Refusal.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/Refusal.java
@@ -1,7 +1,7 @@
 package org.lockdale.gateway.request;
 
 /**
- * An error answer that this node itself gives.
+ * An error response that this node itself sends, rather than a backend.
  *
  * @param kind reason of the refusal
  * @param message what is wrong and how to fix it
--- a/gateway/src/main/java/org/lockdale/gateway/request/RefusalKind.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RefusalKind.java
@@ -1,6 +1,6 @@
 package org.lockdale.gateway.request;
 
-/** Reasons for which this node itself answers a request with an error. */
+/** Reasons for which this node itself responds to a request with an error. */
 public enum RefusalKind {
   /** The request cannot be parsed. */
   MALFORMED(400, false),
@@ -36,7 +36,7 @@
     return status;
   }
 
-  /** Returns whether the answer guarantees that the request has not run and never will. */
+  /** Returns whether the response guarantees that the request has not run and never will. */
   public boolean guaranteesNotRun() {
     return notRun;
   }
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestExecution.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestExecution.java
@@ -17,8 +17,8 @@
 import org.tinylog.Logger;
 
 /**
- * Runs the attempts of one request until it has its final answer. Confined to the event loop of the
- * caller's connection.
+ * Runs the attempts of one request until it has its final response. Confined to the event loop of
+ * the caller's connection.
  */
 final class RequestExecution {
 
@@ -30,7 +30,7 @@
   private static final long MIN_ATTEMPT_MILLIS = 20;
 
   /**
-   * A repeatable request that gets no answer is retried at another backend once it has waited for
+   * A repeatable request that gets no response is retried at another backend once it has waited for
    * its remaining time divided by this.
    */
   private static final int MAX_SILENCE_DIVISOR = 2;
@@ -92,8 +92,8 @@
     if (ended) {
       return;
     }
-    if (result instanceof PlacementResult.RetryLater notNow) {
-      waitOrRefuse(notNow.waitMillis());
+    if (result instanceof PlacementResult.RetryLater retryLater) {
+      waitOrRefuse(retryLater.waitMillis());
       return;
     }
     Optional<Placement> placement = result.placed();
@@ -107,7 +107,7 @@
       return;
     }
     recordEstimate(placement.get());
-    boolean isFirst = state.possibleRuns == 0 && !state.answerStarted;
+    boolean isFirst = state.possibleRuns == 0 && !state.responseStarted;
     if (isFirst && path.waits().cannotMeetDeadline(state)) {
       giveUp("too many requests wait at pool " + state.pool, null);
       return;
@@ -142,7 +142,7 @@
       return;
     }
     retryAfterMillis = waitMillis;
-    giveUp("the backends of pool " + state.pool + " are at their limits", null);
+    giveUp("the backends of pool " + state.pool + " accept no requests now", null);
   }
 
   private void send(Placement placement) {
@@ -190,7 +190,7 @@
   }
 
   private void onFirstEvent(QueueForecast.Place place, long sentAtMillis) {
-    place.begin();
+    place.recordStart();
     path.waits().recordFirstEvent(state, sentAtMillis);
     path.workChanged();
   }
@@ -265,15 +265,15 @@
   private void removeFromQueue(boolean served) {
     QueueForecast.Place place = queued;
     if (place != null && served) {
-      place.begin();
+      place.recordStart();
     } else if (place != null) {
       place.leave();
     }
   }
 
   /**
-   * Tries another backend a few times only: once all backends are at their limits, asking each in
-   * turn takes time from the requests that run.
+   * Tries another backend a few times only: once no backend accepts requests, trying each in turn
+   * takes time from the requests that run.
    */
   private void onWithdrawn(Attempt attempt) {
     state.withdrawals++;
@@ -311,7 +311,7 @@
   }
 
   /**
-   * Returns whether the answer can be started over or resumed: a stream can only be resumed after
+   * Returns whether the response can be started over or resumed: a stream can only be resumed after
    * an event that has an id.
    */
   private boolean hasResumePoint(AttemptResult result) {
@@ -324,7 +324,7 @@
   }
 
   private void giveUp(String reason, @Nullable HttpReply backendFailure) {
-    if (state.answerStarted) {
+    if (state.responseStarted) {
       state.exchange.abort();
       end("broken-off");
     } else if (backendFailure != null) {
@@ -352,7 +352,7 @@
       state.possibleRuns++;
       attempt.target().health().failed(path.nowMillis());
     }
-    if (state.answerStarted) {
+    if (state.responseStarted) {
       state.exchange.abort();
       end("timed-out");
     } else if (state.possibleRuns == 0) {
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestPath.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestPath.java
@@ -37,11 +37,11 @@
 
 /**
  * Handles a request: reads it, applies the filters, and then tries backends until the request has
- * its answer.
+ * its response.
  */
 public final class RequestPath implements HttpHandler {
 
-  /** Outcome of a request whose complete answer was forwarded. */
+  /** Outcome of a request whose complete response was forwarded. */
   static final String COMPLETE = "complete";
 
   /** Interval at which a request that waits for the node to start checks whether it may proceed. */
@@ -82,10 +82,10 @@
    * @param limiter enforces the limits of tenants
    * @param placements chooses backends for requests
    * @param decider placement state of this node, used to check the age of weights
-   * @param quarantine knows which requests are quarantined
+   * @param quarantine determines which requests are quarantined
    * @param incarnations notified of requests that reached another incarnation than intended
    * @param rates rate limits that backends advertise
-   * @param announcements receives what answers announce about draining and backoff
+   * @param announcements receives what responses announce about draining and backoff
    * @param zone zone of the node
    * @param observer notified of the progress of attempts
    * @param time clock
@@ -135,7 +135,7 @@
             new QuarantineFilter(quarantine, time));
   }
 
-  /** Returns the number of requests that have no final answer yet. */
+  /** Returns the number of requests that have no final response yet. */
   public int openRequests() {
     return openRequests.get();
   }
@@ -300,7 +300,7 @@
     return zone;
   }
 
-  /** Notifies the observer that a request has started to be answered or has ended. */
+  /** Notifies the observer that the response to a request has started or the request has ended. */
   void workChanged() {
     observer.workChanged();
   }
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestState.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestState.java
@@ -24,8 +24,8 @@
   private static final int MAX_WAIT_DIVISOR = 2;
 
   /**
-   * Number of gap objectives for which a request whose answer has started may wait to be sent
-   * again. Callers wait for at least eight gap objectives; the other half is left for the answer.
+   * Number of gap objectives for which a request whose response has started may wait to be sent
+   * again. Callers wait for at least eight gap objectives; the other half is left for the response.
    */
   private static final int MAX_WAIT_GAPS = 4;
 
@@ -61,12 +61,12 @@
   int withdrawals;
 
   /**
-   * Id of the last event forwarded to the caller. Initially the last one that the caller reports to
-   * have received; null if none.
+   * Id of the last event forwarded to the caller. Initially the last one that the caller reports as
+   * received; null if none.
    */
   @Nullable String lastEventId;
 
-  boolean answerStarted;
+  boolean responseStarted;
 
   /**
    * Whether the request gets the lowest priority, because it would miss its latency objective and
@@ -80,7 +80,7 @@
   /** Tokens of shared prompt parts that the chosen engine lacks and no engine is known to have. */
   long sharedTokensToCompute;
 
-  /** Time from arrival to the first event of the answer, in milliseconds; -1 before it. */
+  /** Time from arrival to the first event of the response, in milliseconds; -1 before it. */
   long firstEventMillis = -1;
 
   /** Monotonic time at which the latest event was forwarded. */
@@ -174,17 +174,17 @@
     return found;
   }
 
-  /** Returns the monotonic time after which the answer is no longer wanted. */
+  /** Returns the monotonic time after which the response is no longer wanted. */
   long deadlineAtMillis() {
     return arrivedAtMillis + Math.min(request.deadlineMillis(), route().timeout().toMillis());
   }
 
   /**
    * Returns the monotonic time until which the request may wait for a backend that is at its rate
-   * limit or in a backoff. The rest of the objective is left for the answer.
+   * limit or in a backoff. The rest of the objective is left for the response.
    */
   long waitDeadlineMillis() {
-    return answerStarted
+    return responseStarted
         ? latestEventAtMillis + route().gapObjective().toMillis() * MAX_WAIT_GAPS
         : arrivedAtMillis + route().latencyObjective().toMillis() / MAX_WAIT_DIVISOR;
   }
--- a/gateway/src/main/java/org/lockdale/gateway/request/StreamForwarder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/StreamForwarder.java
@@ -6,9 +6,9 @@
 import org.lockdale.http.ServerSentEventDecoder;
 
 /**
- * Forwards a stream to the caller in whole events only, so that another backend can continue a
- * stream that breaks within an event. The head of the answer is sent with the first event; until
- * then the request can still be answered differently.
+ * Forwards a stream to the caller in complete events only, so that another backend can continue a
+ * stream that breaks within an event. The head of the response is sent with the first event; until
+ * then another response can still be sent.
  */
 final class StreamForwarder {
 
@@ -20,13 +20,13 @@
   private final Time time;
   private final ServerSentEventDecoder decoder = new ServerSentEventDecoder(this::onEvent);
   private final long resumedAfter;
-  private boolean begun;
+  private boolean started;
 
   StreamForwarder(RequestState state, ResponseHead head, Time time) {
     this.state = state;
     this.time = time;
     this.head = head;
-    this.resumedAfter = state.answerStarted ? parseEventId(state.lastEventId) : Long.MIN_VALUE;
+    this.resumedAfter = state.responseStarted ? parseEventId(state.lastEventId) : Long.MIN_VALUE;
   }
 
   private static long parseEventId(String eventId) {
@@ -35,13 +35,13 @@
 
   void accept(ByteBuf content) {
     decoder.decode(content);
-    if (state.answerStarted) {
+    if (state.responseStarted) {
       state.exchange.flush();
     }
   }
 
   private void onEvent(long id, ByteBuf event) {
-    begun = true;
+    started = true;
     state.recordEvent(time.monotonicMillis());
     boolean repeated = id != ServerSentEventDecoder.NO_ID && id <= resumedAfter;
     if (repeated) {
@@ -54,20 +54,20 @@
   }
 
   private void send(ByteBuf bytes) {
-    startAnswer();
+    startResponse();
     state.exchange.write(bytes.retainedSlice());
   }
 
-  private void startAnswer() {
-    if (!state.answerStarted) {
-      state.answerStarted = true;
+  private void startResponse() {
+    if (!state.responseStarted) {
+      state.responseStarted = true;
       state.exchange.startStream(head.status(), head.headers());
     }
   }
 
   /** Returns whether any event was received. */
-  boolean hasBegun() {
-    return begun;
+  boolean hasStarted() {
+    return started;
   }
 
   /** Returns whether too many bytes are buffered for the caller. */
@@ -75,13 +75,13 @@
     return state.exchange.queuedBytes() > MAX_QUEUED_BYTES;
   }
 
-  /** Completes the answer, with the rest of the stream that is no whole event. */
+  /** Completes the response, after sending the rest of the stream, which is no complete event. */
   void end() {
     ByteBuf rest = decoder.remainder();
     if (rest.isReadable()) {
       send(rest);
     }
-    startAnswer();
+    startResponse();
     state.exchange.endStream();
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/request/TenantLimitStep.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/TenantLimitStep.java
@@ -14,7 +14,7 @@
  */
 final class TenantLimitStep {
 
-  /** A limit relay that does not answer is replaced within about this time. */
+  /** A limit relay that does not respond is replaced within about this time. */
   private static final long UNKNOWN_RETRY_AFTER_MILLIS = 300;
 
   private final TenantLimiter limiter;
@@ -50,17 +50,17 @@
     if (admission instanceof Admission.Granted granted) {
       state.granted = granted;
       onAdmitted.run();
-    } else if (admission instanceof Admission.Denied beyond) {
+    } else if (admission instanceof Admission.Denied denied) {
       Logger.info(
           "event=tenant-beyond-limit request={} tenant={} retry-after-ms={}",
           state.request.id(),
           state.tenant == null ? "" : state.tenant.name(),
-          beyond.retryAfterMillis());
+          denied.retryAfterMillis());
       onRefused.accept(
           new Refusal(
               RefusalKind.BEYOND_LIMIT,
               "The tenant exceeds its limit; retry after the given time.",
-              beyond.retryAfterMillis()));
+              denied.retryAfterMillis()));
     } else {
       onRefused.accept(
           new Refusal(
--- a/gateway/src/main/java/org/lockdale/gateway/request/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/package-info.java
@@ -1,4 +1,4 @@
-/** Request processing: filters, attempts at backends, and the answer to the caller. */
+/** Request processing: filters, attempts at backends, and the response to the caller. */
 @NullMarked
 package org.lockdale.gateway.request;
 
--- a/gateway/src/test/java/org/lockdale/gateway/limit/LimitRelaySelectorTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/LimitRelaySelectorTest.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.testng.annotations.Test;
 
-/** Tests that a relay with most shares is selected, or else the most senior one. */
+/** Tests that a relay with the majority of the shares is selected, or else the most senior one. */
 public final class LimitRelaySelectorTest {
 
   private static final List<String> BY_SENIORITY = List.of("a", "b", "c");
@@ -16,12 +16,12 @@
   }
 
   @Test
-  public void theMostSeniorRelayDecidesWhereNoneHasMostShares() {
+  public void theMostSeniorRelayIsSelectedWhereNoneHasTheMajority() {
     assertEquals(order(Map.of("b", 0.5, "c", 0.4)), BY_SENIORITY);
   }
 
   @Test
-  public void aRelayWithMostSharesIsKept() {
+  public void aRelayWithTheMajorityOfSharesIsKept() {
     assertEquals(order(Map.of("b", 0.9)), List.of("b", "a", "c"));
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/limit/LimitSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/LimitSimulation.java
@@ -35,9 +35,9 @@
   private static final long UPKEEP_INTERVAL_MILLIS = 500;
 
   private static final long MAX_PROOF_AGE_MILLIS = 2_000;
-  private static final long ANSWER_MILLIS = 40;
+  private static final long RESPONSE_TIMEOUT_MILLIS = 40;
   private static final int MAX_TRIES = 4;
-  private static final int MAX_SILENT_QUESTIONS = 3;
+  private static final int MAX_UNANSWERED_QUERIES = 3;
 
   /** Time after which the load balancer removes an unreachable node: it missed two checks. */
   private static final long UNREADY_MILLIS = 2_000;
@@ -49,7 +49,7 @@
 
   private record Event(long atMillis, long number, Runnable action) {}
 
-  private record Question(String tenant, double amount, long sentAt, int tries) {}
+  private record LimitQuery(String tenant, double amount, long sentAt, int tries) {}
 
   /** A node with its successive incarnations. */
   final class Node {
@@ -63,10 +63,10 @@
     private ReturnedAmounts returned;
     private Map<String, ShareLender.Heartbeat> heartbeats;
     private Map<String, Double> reportedShares;
-    private Map<Long, Question> open;
+    private Map<Long, LimitQuery> open;
     private Map<String, TenantLimit> limits;
     private long incarnation;
-    private int silentQuestions;
+    private int unansweredQueries;
     private long lastUpkeepAt;
     private int knownNodes;
     private long provenAt = Long.MIN_VALUE / 2;
@@ -296,60 +296,61 @@
       if (kept.isPresent()) {
         granted(traffic, kept.get());
       } else {
-        ask(traffic, amount, 1);
+        query(traffic, amount, 1);
       }
     }
 
-    private void ask(TenantTraffic traffic, double amount, int tries) {
-      Node decider = byId.get(limitRelays().get(0));
-      if (decider == this) {
-        long askedAt = clock();
+    private void query(TenantTraffic traffic, double amount, int tries) {
+      Node limitRelay = byId.get(limitRelays().get(0));
+      if (limitRelay == this) {
+        long requestedAt = clock();
         if (buckets.take(traffic.tenant, amount, clock()).isEmpty()) {
-          granted(traffic, grant(traffic, amount, askedAt));
+          granted(traffic, grant(traffic, amount, requestedAt));
         }
         return;
       }
-      long number = ++questions;
-      open.put(number, new Question(traffic.tenant, amount, clock(), tries));
+      long number = ++queries;
+      open.put(number, new LimitQuery(traffic.tenant, amount, clock(), tries));
       send(
           this,
-          decider,
+          limitRelay,
           () -> {
-            OptionalLong wait = decider.buckets.take(traffic.tenant, amount, decider.clock());
-            send(decider, this, () -> onAnswer(traffic, number, wait.isEmpty()));
+            OptionalLong wait = limitRelay.buckets.take(traffic.tenant, amount, limitRelay.clock());
+            send(limitRelay, this, () -> onResponse(traffic, number, wait.isEmpty()));
           });
       long current = incarnation;
       after(
-          ANSWER_MILLIS, () -> whenAwake(this, current, () -> onTimeout(traffic, number, decider)));
+          RESPONSE_TIMEOUT_MILLIS,
+          () -> whenAwake(this, current, () -> onTimeout(traffic, number, limitRelay)));
     }
 
-    private void onAnswer(TenantTraffic traffic, long number, boolean admitted) {
-      Question question = open.remove(number);
-      if (question != null) {
-        silentQuestions = 0;
+    private void onResponse(TenantTraffic traffic, long number, boolean admitted) {
+      LimitQuery query = open.remove(number);
+      if (query != null) {
+        unansweredQueries = 0;
         if (admitted) {
-          granted(traffic, grant(traffic, question.amount(), question.sentAt()));
+          granted(traffic, grant(traffic, query.amount(), query.sentAt()));
         }
       }
     }
 
     private void onTimeout(TenantTraffic traffic, long number, Node silent) {
-      Question question = open.remove(number);
-      if (question == null) {
+      LimitQuery query = open.remove(number);
+      if (query == null) {
         return;
       }
-      if (++silentQuestions >= MAX_SILENT_QUESTIONS) {
-        silentQuestions = 0;
+      if (++unansweredQueries >= MAX_UNANSWERED_QUERIES) {
+        unansweredQueries = 0;
         election.markUnresponsive(silent.id, clock());
         lend();
       }
-      if (question.tries() < MAX_TRIES) {
-        ask(traffic, question.amount(), question.tries() + 1);
+      if (query.tries() < MAX_TRIES) {
+        query(traffic, query.amount(), query.tries() + 1);
       }
     }
 
-    private Admission.Granted grant(TenantTraffic traffic, double amount, long askedAt) {
-      long until = askedAt + Allowance.of(traffic.currentLimit(), BOUND).returnMillis();
+    private Admission.Granted grant(TenantTraffic traffic, double amount, long requestedAt) {
+      long until = requestedAt + Allowance.of(traffic.currentLimit(), BOUND).returnMillis();
       return new Admission.Granted(traffic.tenant, amount, until);
     }
 
@@ -380,7 +381,7 @@
   private Map<String, TenantLimit> limitsInStore = Map.of();
   private long now;
   private long eventNumbers;
-  private long questions;
+  private long queries;
   private int registered;
 
   LimitSimulation(int count, long seed) {
--- a/gateway/src/test/java/org/lockdale/gateway/limit/LimitSimulationTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/LimitSimulationTest.java
@@ -63,7 +63,7 @@
   private double sumOfMeans;
 
   @Test
-  public void limitsAreKeptAndWhatLiesBelowThemIsLetThrough() {
+  public void limitsAreKeptAndRequestsWithinThemAreAdmitted() {
     Fault[] faults = Fault.values();
     for (int seed = 0; seed < SEEDS; seed++) {
       Fault first = faults[seed % faults.length];
--- a/gateway/src/test/java/org/lockdale/gateway/limit/RetryBudgetTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/RetryBudgetTest.java
@@ -58,7 +58,7 @@
   }
 
   @Test
-  public void whatLeavesTheWindowNoLongerCounts() {
+  public void requestsOutsideTheWindowAreNotCounted() {
     RetryBudget budget = RetryBudget.ofNode(0, 1, WINDOW);
     assertTrue(budget.tryRetry("pool", 0));
     assertFalse(budget.tryRetry("pool", WINDOW - 1));
--- a/gateway/src/test/java/org/lockdale/gateway/limit/ShareLenderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/ShareLenderTest.java
@@ -43,7 +43,7 @@
   }
 
   @Test
-  public void aShareThatWasGivenBackIsLentAtOnce() {
+  public void aReleasedShareIsLentAtOnce() {
     ShareLender lender = new ShareLender(0);
     assertTrue(lends(lender, "a", START, START));
     assertTrue(lender.recall("a", START + 1).isEmpty());
@@ -53,7 +53,7 @@
   }
 
   @Test
-  public void theConfirmationOfAnEarlierLoanFreesNothing() {
+  public void theConfirmationOfAnEarlierLoanReleasesNothing() {
     ShareLender lender = new ShareLender(0);
     assertTrue(lends(lender, "a", START, START));
     assertTrue(lends(lender, "a", START + 500, START + 500));
--- a/gateway/src/test/java/org/lockdale/gateway/limit/TenantBucketsTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/TenantBucketsTest.java
@@ -29,7 +29,7 @@
   }
 
   @Test
-  public void bucketsBeginEmptyAndGainAsSharesAllow() {
+  public void bucketsStartEmptyAndGainAsSharesAllow() {
     TenantBuckets buckets = buckets();
     assertFalse(takes(buckets, 1, 100));
     buckets.lent("a", 0.5, FOREVER, 100);
@@ -56,7 +56,7 @@
   }
 
   @Test
-  public void aShareThatComesBackBringsNoLevel() {
+  public void aReturningShareAddsNoLevel() {
     TenantBuckets buckets = buckets();
     buckets.lent("a", 0.5, FOREVER, 0);
     buckets.lent("b", 0.5, 5_000, 0);
@@ -142,7 +142,7 @@
   }
 
   @Test
-  public void aShareThatWasGivenBackIsNotUsedThoughItsLoanComesLate() {
+  public void aReleasedShareIsNotUsedWhenItsLoanArrivesLate() {
     TenantBuckets buckets = buckets();
     buckets.lent("a", 0.5, 5_000, 0);
     buckets.release("a", 6_000, 100);
@@ -153,7 +153,7 @@
   }
 
   @Test
-  public void aTenantWithoutALimitIsLetThrough() {
+  public void aTenantWithoutALimitIsAdmitted() {
     assertTrue(buckets().take("tenant-two", 1e9, 0).isEmpty());
   }
 
--- a/gateway/src/test/java/org/lockdale/gateway/limit/TenantTraffic.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/TenantTraffic.java
@@ -31,7 +31,7 @@
   }
 
   /**
-   * Records a request for the tenant. A reference bucket with the whole limit determines whether it
+   * Records a request for the tenant. A reference bucket with the full limit determines whether it
    * should be admitted.
    */
   void recordDemand(double amount, long nowMillis) {
@@ -62,7 +62,7 @@
     return expected == 0 ? 1 : admitted / expected;
   }
 
-  /** Returns the maximum amount that was sent in any window that begins at a time or later. */
+  /** Returns the maximum amount that was sent in any window that starts at a time or later. */
   double maxInWindow(long fromMillis) {
     double sum = 0;
     double max = 0;
--- a/gateway/src/test/java/org/lockdale/gateway/rate/AdvertisedRatesTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/rate/AdvertisedRatesTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests that the answer written last determines the rate, in whatever order answers arrive. */
+/** Tests that the response written last determines the rate, in whatever order responses arrive. */
 public final class AdvertisedRatesTest {
 
   private static final String ID = "i-1@1";
@@ -30,7 +30,7 @@
   }
 
   @Test
-  public void aRateHoldsUntilALaterAnswerHasNone() {
+  public void aRateAppliesUntilALaterResponseHasNone() {
     assertEquals(recordRate(4, 0, 10), AdvertisedRates.Change.LIMITED);
     assertEquals(rates.perSecond(ID), OptionalDouble.of(4));
     assertEquals(recordNone(11, 20), AdvertisedRates.Change.ENDED);
@@ -38,14 +38,14 @@
   }
 
   @Test
-  public void anAnswerThatMayHaveBeenWrittenBeforeEndsNothing() {
+  public void aResponseThatMayHaveBeenWrittenEarlierEndsNoLimit() {
     recordRate(4, 0, 10);
     assertEquals(recordNone(9, 20), AdvertisedRates.Change.NONE);
     assertEquals(rates.perSecond(ID), OptionalDouble.of(4));
   }
 
   @Test
-  public void ofAnswersInEitherOrderTheLeastRateHolds() {
+  public void theLowestRateAppliesAmongResponsesInUnknownOrder() {
     recordRate(4, 0, 10);
     recordRate(6, 5, 12);
     assertEquals(rates.perSecond(ID), OptionalDouble.of(4));
@@ -54,11 +54,11 @@
   }
 
   /**
-   * Guards against limits that never change when the request of each answer is sent before the
-   * previous answer is received.
+   * Guards against limits that never change when the request of each response is sent before the
+   * previous response is received.
    */
   @Test
-  public void aRateIsRaisedAndEndedAlsoWhereAnswersAlwaysOverlap() {
+  public void aRateIsRaisedAndEndedAlsoWhereResponsesAlwaysOverlap() {
     for (long at = 0; at < 2_000; at += 100) {
       recordRate(4, at, at + 500);
     }
@@ -73,7 +73,7 @@
   }
 
   @Test
-  public void anAnswerOfTheTimeBeforeTheEndLimitsNothing() {
+  public void aResponseWrittenBeforeTheEndLimitsNothing() {
     recordRate(4, 0, 10);
     recordNone(20, 30);
     assertEquals(recordRate(4, 2, 15), AdvertisedRates.Change.NONE);
@@ -81,7 +81,7 @@
   }
 
   @Test
-  public void whatCannotBeReadLeavesTheLastRate() {
+  public void anUnreadableRateKeepsThePreviousOne() {
     assertEquals(
         rates.record(ID, new AdvertisedRate.Unreadable("many"), 0, 10),
         AdvertisedRates.Change.NONE);
--- a/gateway/src/test/java/org/lockdale/gateway/rate/RateAllowancesTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/rate/RateAllowancesTest.java
@@ -29,13 +29,13 @@
   }
 
   @Test
-  public void aBackendWithoutARateTakesAll() {
+  public void aBackendWithoutARateAcceptsAllRequests() {
     assertTrue(allowances.tryTake(ID, 0));
     assertEquals(allowances.waitMillis(ID, 0), 0.0);
   }
 
   @Test
-  public void aCountBeginsEmptyAndGainsTheRate() {
+  public void anAllowanceStartsEmptyAndGainsTheRate() {
     allowances.lent("node", 1, FOREVER, 0);
     allowances.setRate(ID, 4, 0);
     assertEquals(takeAll(0), 0);
@@ -45,7 +45,7 @@
   }
 
   @Test
-  public void noMoreIsSavedUpThanHalfASecondAndTwoRequests() {
+  public void atMostHalfASecondAndTwoRequestsAccumulate() {
     allowances.lent("node", 1, FOREVER, 0);
     allowances.setRate(ID, 4, 0);
     assertEquals(takeAll(60_000), 4);
@@ -68,7 +68,7 @@
 
   /**
    * An isolated node of seven sends a seventh of the rate; one of seventy-nine never accumulates a
-   * whole request.
+   * full request.
    */
   @Test
   public void anIsolatedNodeSendsItsShareIfAllSuchNodesTogetherAreTolerated() {
@@ -89,7 +89,7 @@
   }
 
   @Test
-  public void aLowerRateCutsWhatWasSavedUp() {
+  public void aLowerRateReducesTheAccumulatedAllowance() {
     allowances.lent("node", 1, FOREVER, 0);
     allowances.setRate(ID, 40, 0);
     allowances.setRate(ID, 2, 10_000);
--- a/gateway/src/test/java/org/lockdale/gateway/request/QueueForecastTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/request/QueueForecastTest.java
@@ -43,10 +43,10 @@
   }
 
   /** Serves requests in order at an interval with 20% noise; one joins for each that starts. */
-  private void serve(QueueForecast queue, long intervalMillis, int answers, Random random) {
-    for (int answer = 0; answer < answers; answer++) {
+  private void serve(QueueForecast queue, long intervalMillis, int responses, Random random) {
+    for (int response = 0; response < responses; response++) {
       time.millis += Math.round(intervalMillis * (0.8 + 0.4 * random.nextDouble()));
-      places.remove().begin();
+      places.remove().recordStart();
       places.add(queue.join());
     }
   }
@@ -57,12 +57,12 @@
     assertEquals(queue.predictMillis(), 0.0);
     QueueForecast.Place place = queue.join();
     time.millis += 60_000;
-    place.begin();
+    place.recordStart();
     assertEquals(queue.predictMillis(), 0.0);
   }
 
   @Test
-  public void rateIsKnownAfterThirtyAnswers() {
+  public void rateIsKnownAfterThirtyResponses() {
     for (long interval : new long[] {2, 20, 200, 2_000}) {
       QueueForecast queue = queueOf(WAITING);
       serve(queue, interval, 30, new Random(interval));
@@ -72,7 +72,7 @@
   }
 
   @Test
-  public void aChangeOfFourTimesIsFollowedWithinTwentyAnswers() {
+  public void aFourfoldChangeIsFollowedWithinTwentyResponses() {
     Random random = new Random(1);
     QueueForecast queue = queueOf(WAITING);
     serve(queue, 40, 100, random);
@@ -85,7 +85,7 @@
   }
 
   @Test
-  public void aQueueFromWhichNothingBeginsGrowsSlowerWithoutSteps() {
+  public void predictionGrowsSteadilyWhileNothingStarts() {
     QueueForecast queue = queueOf(WAITING);
     double before = queue.predictMillis();
     assertEquals(before, 0.0);
@@ -98,7 +98,7 @@
   }
 
   @Test
-  public void anyOrderOfEventsGivesTimes() {
+  public void anyOrderOfEventsGivesFinitePredictions() {
     for (long seed = 0; seed < SEEDS; seed++) {
       Random random = new Random(seed);
       QueueForecast queue = queueOf(0);
@@ -123,7 +123,7 @@
 
   private static void end(QueueForecast.Place place, Random random) {
     if (random.nextBoolean()) {
-      place.begin();
+      place.recordStart();
     } else {
       place.leave();
     }
--- a/gateway/src/test/java/org/lockdale/gateway/request/WaitEstimateTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/request/WaitEstimateTest.java
@@ -14,8 +14,8 @@
 
   private final Random random = new Random(1);
 
-  private void observe(WaitEstimate estimate, double tokensPerMilli, int answers) {
-    for (int answer = 0; answer < answers; answer++) {
+  private void observe(WaitEstimate estimate, double tokensPerMilli, int responses) {
+    for (int response = 0; response < responses; response++) {
       long tokens = 10_000 + random.nextInt(60_000);
       double noise = 0.8 + 0.4 * random.nextDouble();
       estimate.observe(PRIORITY, tokens, (long) (tokens / tokensPerMilli * noise));
@@ -31,7 +31,7 @@
   }
 
   @Test
-  public void enginesOfAnySpeedAreKnownAfterThirtyAnswers() {
+  public void enginesOfAnySpeedAreKnownAfterThirtyResponses() {
     for (double tokensPerMilli : new double[] {5, 38, 51, 57, 400}) {
       WaitEstimate estimate = new WaitEstimate();
       observe(estimate, tokensPerMilli, 30);
@@ -41,7 +41,7 @@
   }
 
   @Test
-  public void aChangeOfFourTimesIsFollowedWithinTwentyAnswers() {
+  public void aFourfoldChangeIsFollowedWithinTwentyResponses() {
     WaitEstimate estimate = new WaitEstimate();
     observe(estimate, 60, 100);
     observe(estimate, 15, 20);
@@ -50,9 +50,9 @@
   }
 
   @Test
-  public void shortWaitsTellNothingAndRanksAreKeptApart() {
+  public void shortPromptsAreIgnoredAndPrioritiesAreSeparate() {
     WaitEstimate estimate = new WaitEstimate();
-    for (int answer = 0; answer < 50; answer++) {
+    for (int response = 0; response < 50; response++) {
       estimate.observe(PRIORITY, 500, 1_000);
       estimate.observe(PRIORITY, 0, 1_000);
       estimate.observe(-1, TOKENS, 1_000);
