--- a/gateway/src/main/java/org/lockdale/gateway/backend/Backend.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/Backend.java
@@ -6,7 +6,7 @@
 /**
  * Record of a backend in the shared store.
  *
- * @param incarnation the server and the start time of its process; a restart begins a new
+ * @param incarnation the server and the start time of its process; a restart starts a new
  *     incarnation
  * @param pool pool that the backend belongs to
  * @param address address at which it is reached
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendBackoff.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendBackoff.java
@@ -18,7 +18,7 @@
    *
    * @param millis length of the backoff from now on, in milliseconds
    * @param nowMillis monotonic time in milliseconds
-   * @return whether this begins or extends the backoff
+   * @return whether this starts or extends the backoff
    */
   public boolean extend(long millis, long nowMillis) {
     long until = nowMillis + millis;
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendHealth.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendHealth.java
@@ -21,8 +21,8 @@
   private static final int FAILURES_TO_EJECT = 2;
 
   /**
-   * Pause after the first rejection. It is longer than all nodes that place requests take to learn
-   * of a rejection, and shorter than loading weights takes.
+   * Pause after the first rejection. It is longer than the time in which all nodes that place
+   * requests learn of a rejection, and shorter than loading weights takes.
    */
   private static final long FIRST_REJECTION_PAUSE_MILLIS = 150;
 
@@ -81,7 +81,7 @@
 
     Rejections next(long nowMillis) {
       if (isPaused(nowMillis)) {
-        // The request was already in flight when the pause began, so its rejection adds no
+        // The request was already in flight when the pause started, so its rejection adds no
         // information.
         return this;
       }
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendLoad.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendLoad.java
@@ -5,7 +5,7 @@
 
 /**
  * Work that this node has sent to one backend and that has not ended. Prompt tokens are counted as
- * waiting until the response begins and as running from then on. Safe for use by several threads.
+ * waiting until the response starts and as running from then on. Safe for use by several threads.
  */
 public final class BackendLoad {
 
@@ -18,7 +18,7 @@
   public final class Share {
     private final long computedTokens;
     private final long promptTokens;
-    private boolean begun;
+    private boolean started;
     private boolean ended;
 
     private Share(long computedTokens, long promptTokens) {
@@ -27,15 +27,15 @@
     }
 
     /**
-     * Records that the response has begun.
+     * Records that the response has started.
      *
      * @return whether this is the first call, made before the request ended
      */
     public boolean begin() {
-      if (begun || ended) {
+      if (started || ended) {
         return false;
       }
-      begun = true;
+      started = true;
       waitingTokens.addAndGet(-computedTokens);
       runningTokens.addAndGet(promptTokens);
       changeCount.incrementAndGet();
@@ -49,7 +49,7 @@
       }
       ended = true;
       openRequests.decrementAndGet();
-      if (begun) {
+      if (started) {
         runningTokens.addAndGet(-promptTokens);
       } else {
         waitingTokens.addAndGet(-computedTokens);
@@ -72,7 +72,7 @@
   }
 
   /**
-   * Returns a number that increases whenever a request is sent, begins to be answered or ends. A
+   * Returns a number that increases whenever a request is sent, its response starts or it ends. A
    * report that covers placements made by a relay node must include every engine whose number has
    * increased, since the relay then discards these placements.
    */
@@ -90,12 +90,12 @@
     return openRequests.get();
   }
 
-  /** Returns the tokens of prompts whose responses have not begun. */
+  /** Returns the tokens of prompts whose responses have not started. */
   public long waitingTokens() {
     return waitingTokens.get();
   }
 
-  /** Returns the tokens of prompts whose responses have begun and not ended. */
+  /** Returns the tokens of prompts whose responses have started and not ended. */
   public long runningTokens() {
     return runningTokens.get();
   }
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendProtocol.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendProtocol.java
@@ -4,7 +4,7 @@
 import org.lockdale.gateway.caller.CallerRequest;
 import org.lockdale.http.HttpRequestMessage;
 
-/** Port for the protocol that backends speak. */
+/** Port for the protocol of backends. */
 public interface BackendProtocol {
 
   /** Returns a request in the form in which it is sent to a backend. */
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendWork.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendWork.java
@@ -3,8 +3,8 @@
 /**
  * Work at one backend.
  *
- * @param waitingTokens tokens of prompts whose responses have not begun
- * @param runningTokens tokens of prompts whose responses have begun and not ended
+ * @param waitingTokens tokens of prompts whose responses have not started
+ * @param runningTokens tokens of prompts whose responses have started and not ended
  * @param openRequests requests that have not ended
  */
 public record BackendWork(long waitingTokens, long runningTokens, int openRequests) {
--- a/gateway/src/main/java/org/lockdale/gateway/backend/ResponseHead.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/ResponseHead.java
@@ -8,8 +8,8 @@
  * Head of a backend's HTTP response.
  *
  * @param status HTTP status code
- * @param headers headers to pass on to the caller
- * @param notRun whether the backend states that it did not and will not run the request
+ * @param headers headers to forward to the caller
+ * @param notRun whether the backend reports that it did not and will not run the request
  * @param misdirected whether the backend is another incarnation, or holds other weights, than the
  *     request expected
  * @param authentic whether the response carries the backend's proof that it comes from that backend
--- a/gateway/src/main/java/org/lockdale/gateway/backend/TrackedBackend.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/TrackedBackend.java
@@ -34,7 +34,7 @@
     final BackendLoad load = new BackendLoad();
     final BackendBackoff backoff;
     final Map<String, ObservedWeights> weights = new ConcurrentHashMap<>();
-    final AtomicLong aliveAtMillis = new AtomicLong(Long.MIN_VALUE / 2);
+    final AtomicLong lastKnownAliveMillis = new AtomicLong(Long.MIN_VALUE / 2);
     final AtomicBoolean draining = new AtomicBoolean();
     final Set<Runnable> endListeners = ConcurrentHashMap.newKeySet();
 
@@ -73,7 +73,7 @@
 
   /**
    * Returns the same incarnation with a newer record. If its address has changed, it no longer
-   * counts as ended because another instance answered at the former address.
+   * counts as ended because another instance responded at the former address.
    */
   public TrackedBackend with(Backend newer) {
     boolean moved = !newer.address().equals(backend.address());
@@ -81,9 +81,9 @@
   }
 
   /**
-   * Records that this incarnation has ended, as shown by another instance that answers at its
-   * address or by the record of the server's next incarnation. Its own record may remain in the
-   * shared store for seconds.
+   * Records that this incarnation has ended, as shown by another instance that responds at its
+   * address or by the record of the server's next incarnation. Its record may remain in the shared
+   * store for seconds.
    *
    * @return whether this was not known before
    */
@@ -172,14 +172,15 @@
   }
 
   /**
-   * Records that this incarnation, and no later one at its address, has begun to answer an attempt,
-   * which shows that it was alive when the attempt was sent. The time at which the response is read
-   * proves nothing: a slow node may read late what a backend wrote before its process ended.
+   * Records that this incarnation, and no later one at its address, has started to respond to an
+   * attempt, which shows that it was alive when the attempt was sent. The time at which the
+   * response is read proves nothing: a slow node may read late what a backend wrote before its
+   * process ended.
    *
    * @param sentAtMillis monotonic time in milliseconds at which the attempt was sent
    */
   public void recordAlive(long sentAtMillis) {
-    learned.aliveAtMillis.accumulateAndGet(sentAtMillis, Math::max);
+    learned.lastKnownAliveMillis.accumulateAndGet(sentAtMillis, Math::max);
   }
 
   /**
@@ -187,7 +188,7 @@
    * been alive; far in the past where no response was received.
    */
   public long lastKnownAliveMillis() {
-    return learned.aliveAtMillis.get();
+    return learned.lastKnownAliveMillis.get();
   }
 
   /** Records the version of weights reported in a response. */
--- a/gateway/src/main/java/org/lockdale/gateway/placement/BackendChooser.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/BackendChooser.java
@@ -68,8 +68,8 @@
   /**
    * Cost of serving with outdated weights, in tokens, in addition to {@link #NON_PREFERRED_COST}. A
    * response computed with outdated weights loses a fifth of its value, a late one two thirds, so
-   * engines with current weights are filled first, up to a short queue. This also takes load off
-   * the other engines, which can then move to the new weights sooner.
+   * engines with current weights receive prompts first, up to a short queue. This also takes load
+   * off the other engines, which can then move to the new weights sooner.
    */
   private static final double OUTDATED_COST = 4_000;
 
@@ -117,7 +117,7 @@
     List<TrackedBackend> considered = usable;
     if (noneHealthy) {
       // Without a backend known to be healthy, one that may have recovered is better than none. One
-      // that is backing off has asked for it itself, so it stays excluded.
+      // that is backing off has requested this itself, so it stays excluded.
       considered.addAll(ejected);
     }
     List<TrackedBackend> available =
--- a/gateway/src/main/java/org/lockdale/gateway/placement/EnginePartition.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/EnginePartition.java
@@ -9,7 +9,7 @@
 /**
  * Partition of the engines into those preferred for short prompts and those preferred for long
  * ones. An engine computes a long prompt in chunks between the tokens of its running streams, which
- * stalls these streams. All nodes that know the same engines partition them alike, and the removal
+ * stalls these streams. All nodes with the same known engines partition them alike, and the removal
  * of an engine moves at most one other to the other set.
  *
  * @param shortPromptEngines engines preferred for short prompts
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PlacementDecider.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PlacementDecider.java
@@ -19,7 +19,7 @@
 import org.lockdale.gateway.rate.BackendRates;
 import org.lockdale.gateway.weights.WeightsPolicy;
 
-/** Decides where a request is served, from the state that this node knows. */
+/** Decides where a request is served, from the state known to this node. */
 public final class PlacementDecider {
 
   private static final long NO_BACKOFF = Long.MAX_VALUE;
@@ -33,7 +33,7 @@
   /**
    * Creates a decider.
    *
-   * @param blackboard state that this node knows
+   * @param blackboard state known to this node
    * @param chooser compares the costs of backends
    * @param cachePlanner plans transfers of cached prompts
    * @param weightsPolicy decides which versions of weights may serve
@@ -83,8 +83,8 @@
   /**
    * Counts a request that another node has placed without counting it, such as a node that doesn't
    * know the backend's rate limit. Nothing is counted where this node has not received the rate
-   * limit recently and the other node supports rate limits: it may know that the limit no longer
-   * applies.
+   * limit recently and the other node supports rate limits: the limit may no longer apply, and the
+   * other node may have learned this first.
    *
    * @param target backend at which the request was placed
    * @param knowsRates whether the other node supports advertised rate limits
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PromptPlacement.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PromptPlacement.java
@@ -32,7 +32,7 @@
     return tokens() >= LONG_PROMPT_TOKENS;
   }
 
-  /** Returns the number of tokens of the whole prompt. */
+  /** Returns the number of tokens of the complete prompt. */
   public long tokens() {
     return sharedTokens + ownTokens;
   }
--- a/gateway/src/main/java/org/lockdale/gateway/weights/EngineUpdate.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/EngineUpdate.java
@@ -32,7 +32,7 @@
 
   /**
    * Longest time, in milliseconds, for which an order waits until the engine has processed the
-   * prompts that it is reading, since it rejects requests whose response has not begun. In this
+   * prompts that it is reading, since it rejects requests whose response has not started. In this
    * time an engine processes 23,000 tokens, at 38 tokens a millisecond.
    */
   private static final long MAX_PREFILL_WAIT_MILLIS = 600;
@@ -42,7 +42,7 @@
   private static final long TIMEOUT_MILLIS = 6_000;
 
   private final EventLoop eventLoop;
-  private final RolloutDependencies tools;
+  private final RolloutDependencies dependencies;
   private final WeightsPolicy.Move move;
   private final Lease lease;
   private final String nodeId;
@@ -54,13 +54,13 @@
 
   EngineUpdate(
       EventLoop eventLoop,
-      RolloutDependencies tools,
+      RolloutDependencies dependencies,
       WeightsPolicy.Move move,
       Lease lease,
       String nodeId,
       LongSupplier nowMillis) {
     this.eventLoop = eventLoop;
-    this.tools = tools;
+    this.dependencies = dependencies;
     this.move = move;
     this.lease = lease;
     this.nodeId = nodeId;
@@ -83,7 +83,7 @@
       done.complete(false);
       return;
     }
-    tools
+    dependencies
         .control()
         .state(move.engine().backend())
         .whenCompleteAsync(
@@ -117,7 +117,7 @@
    * match by chance.
    */
   private void replaced() {
-    tools.onReplaced().accept(move.engine());
+    dependencies.onReplaced().accept(move.engine());
     done.complete(false);
   }
 
@@ -153,7 +153,7 @@
   }
 
   private void orderAfterPrefill(long deadlineMillis, EngineState state) {
-    boolean prefilling = tools.waitingTokens().applyAsLong(move.engine()) > 0;
+    boolean prefilling = dependencies.waitingTokens().applyAsLong(move.engine()) > 0;
     if (prefilling && nowMillis.getAsLong() < deadlineMillis) {
       schedulePrefillCheck(PREFILL_CHECK_MILLIS, deadlineMillis, state);
     } else {
@@ -164,7 +164,7 @@
   private void announce() {
     announced = true;
     announcedAtMillis = nowMillis.getAsLong();
-    tools.announcer().accept(announcement(true));
+    dependencies.announcer().accept(announcement(true));
   }
 
   /**
@@ -184,7 +184,7 @@
         move.version(),
         nowMillis.getAsLong() - startedAtMillis);
     if (announced) {
-      tools.announcer().accept(announcement(false));
+      dependencies.announcer().accept(announcement(false));
     }
     done.complete(true);
   }
@@ -200,7 +200,7 @@
     }
     LoadOrder order =
         new LoadOrder(move.model(), move.version(), nodeId, lease.fence(), state.orderCount());
-    tools
+    dependencies
         .control()
         .load(move.engine().backend(), order)
         .whenCompleteAsync((outcome, unusedFailure) -> ordered(outcome), eventLoop);
--- a/gateway/src/main/java/org/lockdale/gateway/weights/OrderOutcome.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/OrderOutcome.java
@@ -1,6 +1,6 @@
 package org.lockdale.gateway.weights;
 
-/** Outcome of an order as known to the node that gave it. */
+/** Outcome of an order as far as the node that gave it can tell. */
 public enum OrderOutcome {
   /** The engine is carrying out the order. */
   ACCEPTED,
--- a/gateway/src/main/java/org/lockdale/gateway/weights/RolloutController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/RolloutController.java
@@ -61,7 +61,7 @@
   private final Section<TargetWeights> weights;
   private final Section<BackendTable> backends;
   private final WeightsPolicy policy;
-  private final RolloutDependencies tools;
+  private final RolloutDependencies dependencies;
   private final LeaseStore store;
   private final Lease lease;
   private final String nodeId;
@@ -82,7 +82,7 @@
    * @param weights target versions
    * @param backends the backends with a record in the shared store
    * @param policy decides when engines have to move
-   * @param tools access to the engines and to the other nodes
+   * @param dependencies access to the engines and to the other nodes
    * @param store store of the lease
    * @param nodeId id of this node
    * @param guardMillis least time between the orders of two consecutive holders of the lease, in
@@ -95,7 +95,7 @@
       Section<TargetWeights> weights,
       Section<BackendTable> backends,
       WeightsPolicy policy,
-      RolloutDependencies tools,
+      RolloutDependencies dependencies,
       LeaseStore store,
       String nodeId,
       long guardMillis,
@@ -105,7 +105,7 @@
     this.weights = weights;
     this.backends = backends;
     this.policy = policy;
-    this.tools = tools;
+    this.dependencies = dependencies;
     this.store = store;
     this.lease = new Lease(nodeId, LEASE_DURATION_MILLIS, guardMillis);
     this.nodeId = nodeId;
@@ -176,7 +176,7 @@
       boolean idle = !updatingHealthy.contains(engine) && !updatingSuspected.contains(engine);
       if (due && idle && inProgress.size() < slots.limit(suspected)) {
         inProgress.add(engine);
-        new EngineUpdate(eventLoop, tools, move, lease, nodeId, time::monotonicMillis)
+        new EngineUpdate(eventLoop, dependencies, move, lease, nodeId, time::monotonicMillis)
             .start()
             .whenCompleteAsync((held, unusedFailure) -> updated(engine, held), eventLoop);
       }
--- a/gateway/src/main/java/org/lockdale/gateway/weights/RolloutDependencies.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/RolloutDependencies.java
@@ -10,7 +10,7 @@
  * @param control queries engines and gives them orders
  * @param announcer announces moves of engines to the nodes that place requests
  * @param waitingTokens returns the prompt tokens at an engine, of the requests of all nodes, whose
- *     responses have not begun
+ *     responses have not started
  * @param onReplaced called with an engine at whose address another incarnation responds
  */
 public record RolloutDependencies(
--- a/gateway/src/main/java/org/lockdale/gateway/weights/RolloutSlots.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/RolloutSlots.java
@@ -5,8 +5,8 @@
 
 /**
  * Number of engines that may move to other weights at once. Failing engines count as moving, so
- * that a rollout never takes more engines out of service than it would with a healthy pool. They
- * have a slot of their own, so that waiting for their response delays no healthy engine.
+ * that a rollout never takes more engines out of service than it would with a healthy pool. Failing
+ * engines have a separate slot, so that waiting for their response delays no healthy engine.
  *
  * @param healthy concurrent moves of engines that respond
  * @param suspected concurrent moves of engines whose last attempts failed
--- a/gateway/src/main/java/org/lockdale/gateway/weights/TargetWeights.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/TargetWeights.java
@@ -36,7 +36,7 @@
 
   /**
    * Returns these versions together with the newest ones as read from the store by a node that
-   * can't tell since when the version has been the newest.
+   * can't determine since when the version has been the newest.
    *
    * @param newest newest version of each model
    * @param countsFromMillis monotonic time in milliseconds from which the age of a version unknown
--- a/gateway/src/main/java/org/lockdale/gateway/weights/WeightsPolicy.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/WeightsPolicy.java
@@ -25,21 +25,21 @@
 
   /**
    * Age of a target version, in milliseconds, from which engines that hold it are preferred.
-   * Responses that begin on older weights more than 1.5 s after the version was set are worth less.
+   * Responses that start on older weights more than 1.5 s after the version was set are worth less.
    * The difference allows for the time between the placement of a request, which may have to wait,
    * and the start of its response.
    */
   private static final long DUE_MILLIS = 1_300;
 
   /**
-   * Time, in milliseconds, in which a group of engines that move at once gets from the order to the
-   * new weights.
+   * Time, in milliseconds, that a group of engines that move at once takes from the order until it
+   * holds the new weights.
    */
   private static final long LOAD_MILLIS = 1_900;
 
   /**
-   * Time in milliseconds for which a new target version has to stand before engines load it, since
-   * a version replaced sooner is not worth loading.
+   * Time in milliseconds for which a new target version must remain unchanged before engines load
+   * it, since a version replaced sooner is not worth loading.
    */
   private static final long SETTLE_MILLIS = 600;
 
--- a/gateway/src/test/java/org/lockdale/gateway/placement/BackendChooserTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/placement/BackendChooserTest.java
@@ -277,8 +277,8 @@
   public void backendsThatFailEquallyGetEqualShares() {
     Map<String, Integer> sent = sendWithoutPrompt(engines(3), 0.07, 0.07, 0.07);
     int total = sent.values().stream().mapToInt(Integer::intValue).sum();
-    int most = Collections.max(sent.values());
-    assertTrue(most < 1.5 * total / 3, sent.toString());
+    int maxSent = Collections.max(sent.values());
+    assertTrue(maxSent < 1.5 * total / 3, sent.toString());
   }
 
   @Test
--- a/gateway/src/test/java/org/lockdale/gateway/weights/EngineUpdateTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/weights/EngineUpdateTest.java
@@ -22,8 +22,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Checks that nodes that place requests know of an engine's move from before the order until it is
- * completed.
+ * Checks that nodes that place requests are notified of an engine's move from before the order
+ * until it is completed.
  */
 public final class EngineUpdateTest {
 
@@ -38,7 +38,7 @@
   private RolloutProgress progress;
   private long nowMillis;
 
-  /** An engine that completes an order when the test says so. */
+  /** An engine that completes an order when the test triggers it. */
   private static final class ControlledEngine implements EngineControl {
     private boolean ordered;
     private boolean done;
@@ -89,7 +89,7 @@
   private CompletableFuture<Boolean> start() {
     Lease lease = new Lease("node", LEASE_MILLIS, 0);
     lease.written(new LeaseReading(new LeaseRow("node", LEASE_MILLIS), 1, 0), 0);
-    RolloutDependencies tools =
+    RolloutDependencies dependencies =
         new RolloutDependencies(
             control,
             move -> progress = progress.with(move, nowMillis),
@@ -98,7 +98,7 @@
     CompletableFuture<Boolean> done =
         new EngineUpdate(
                 channel.eventLoop(),
-                tools,
+                dependencies,
                 new WeightsPolicy.Move(engine, MODEL, 2),
                 lease,
                 "node",
@@ -150,7 +150,7 @@
     assertTrue(isMoving());
   }
 
-  /** When an order arrives, an engine rejects the requests whose response it has not begun. */
+  /** When an order arrives, an engine rejects the requests whose response it has not started. */
   @Test
   public void anOrderWaitsUntilThePromptsAtTheEngineAreProcessed() {
     BackendLoad.Share share = engine.load().open(9_000, 9_000);
--- a/gateway/src/test/java/org/lockdale/gateway/weights/RolloutSlotsTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/weights/RolloutSlotsTest.java
@@ -41,7 +41,7 @@
   }
 
   @Test
-  public void anEngineWhoseLastAttemptsFailedIsSuspectedUntilItAnswers() {
+  public void anEngineWhoseLastAttemptsFailedIsSuspectedUntilItResponds() {
     BackendTable table = BackendTable.EMPTY.with(List.of(engine("a"), engine("b"), engine("c")));
     table.all().iterator().next().health().failed(0);
     assertEquals(
--- a/gateway/src/test/java/org/lockdale/gateway/weights/WeightsPolicyTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/weights/WeightsPolicyTest.java
@@ -62,7 +62,7 @@
                 engine("newer", 4, false),
                 engine("oldest", 1, false),
                 engine("current", 5, false),
-                engine("leaving", 1, true)));
+                engine("draining", 1, true)));
     List<String> order = new ArrayList<>();
     moves.forEach(move -> order.add(move.engine().backend().id()));
     assertEquals(order, List.of("oldest", "newer"));
