--- a/gateway/src/main/java/org/lockdale/gateway/cache/CacheDirectory.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/CacheDirectory.java
@@ -75,8 +75,8 @@
   /**
    * Sets whether the holders are followed.
    *
-   * @param enabled whether to follow them; if false, the followers are closed and what they know is
-   *     dropped
+   * @param enabled whether to follow them; if false, the followers are closed and what they
+   *     recorded is dropped
    */
   public void follow(boolean enabled) {
     following = enabled;
@@ -134,7 +134,7 @@
 
   /**
    * Returns the addresses of the configured stores except those known not to respond. A node that
-   * follows no holders knows of no such store and returns all of them.
+   * follows no holders knows none of these and returns all stores.
    */
   public List<InetSocketAddress> storeAddresses() {
     List<InetSocketAddress> addresses = new ArrayList<>();
--- a/gateway/src/main/java/org/lockdale/gateway/cache/CacheEventPage.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/CacheEventPage.java
@@ -6,7 +6,7 @@
  * Changes of the parts that a holder keeps, or all of its parts.
  *
  * @param epoch number that changes when the holder restarts, which loses all of its parts
- * @param next position at which the next page begins
+ * @param next position at which the next page starts
  * @param gap whether changes are missing, so that the known contents are no longer valid
  * @param events the changes in order
  */
--- a/gateway/src/main/java/org/lockdale/gateway/cache/CacheEventSource.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/CacheEventSource.java
@@ -14,7 +14,7 @@
    * Waits for changes.
    *
    * @param holder address of the holder
-   * @param since position at which to begin
+   * @param since position at which to start
    * @param wait longest time to wait for a change
    */
   CompletableFuture<CacheEventPage> changes(InetSocketAddress holder, long since, Duration wait);
--- a/gateway/src/main/java/org/lockdale/gateway/caller/CallerRequest.java
+++ b/gateway/src/main/java/org/lockdale/gateway/caller/CallerRequest.java
@@ -17,7 +17,7 @@
  *     milliseconds
  * @param model requested model, or null if there is none
  * @param promptParts parts of the prompt in order; empty if there is no prompt
- * @param tokens number of tokens of the prompt and of the longest answer together, or null if not
+ * @param tokens number of tokens of the prompt and of the longest response together, or null if not
  *     specified
  * @param lastEventId id of the last event that the caller received of a stream to be continued, or
  *     null
--- a/gateway/src/main/java/org/lockdale/gateway/configuration/LimitUnit.java
+++ b/gateway/src/main/java/org/lockdale/gateway/configuration/LimitUnit.java
@@ -4,6 +4,6 @@
 public enum LimitUnit {
   /** Each request counts as one. */
   REQUESTS,
-  /** Each request counts as the number of tokens of its prompt and of its longest answer. */
+  /** Each request counts as the number of tokens of its prompt and of its longest response. */
   TOKENS
 }
--- a/gateway/src/main/java/org/lockdale/gateway/configuration/Route.java
+++ b/gateway/src/main/java/org/lockdale/gateway/configuration/Route.java
@@ -11,8 +11,8 @@
  * @param pathPrefix prefix of the path, which starts and ends with a slash
  * @param kind whether its requests are streamed and may run more than once
  * @param pools pools that serve it; at least one
- * @param timeout maximum duration of a request, including its answer
- * @param latencyObjective time within which an answer should start
+ * @param timeout maximum duration of a request, including its response
+ * @param latencyObjective time within which a response should start
  * @param gapObjective longest time between two events of a stream that still meets the objective
  * @param priority priority of its requests, 0 is the most urgent
  * @param maxAttempts maximum number of backends that may start to run a request
--- a/gateway/src/main/java/org/lockdale/gateway/configuration/RouteKind.java
+++ b/gateway/src/main/java/org/lockdale/gateway/configuration/RouteKind.java
@@ -1,10 +1,10 @@
 package org.lockdale.gateway.configuration;
 
-/** Form of the answers of a route, and whether its requests may run more than once. */
+/** Form of the responses of a route, and whether its requests may run more than once. */
 public enum RouteKind {
-  /** A complete answer; the request may run more than once. */
+  /** A complete response; the request may run more than once. */
   IDEMPOTENT,
-  /** A complete answer; the request runs at most once. */
+  /** A complete response; the request runs at most once. */
   NON_IDEMPOTENT,
   /** A stream of server-sent events. */
   STREAM
--- a/gateway/src/main/java/org/lockdale/gateway/drain/BackendAnnouncements.java
+++ b/gateway/src/main/java/org/lockdale/gateway/drain/BackendAnnouncements.java
@@ -30,7 +30,7 @@
   /** Upper bound of the random extension of a backoff, in milliseconds. */
   private static final long MAX_SPREAD_MILLIS = 300;
 
-  private final DrainingBackends drainAnnouncements;
+  private final DrainingBackends drainingBackends;
   private final Time time;
   private final AtomicLong drainAnnouncementCount = new AtomicLong();
   private final AtomicLong withdrawalCount = new AtomicLong();
@@ -40,17 +40,17 @@
   /**
    * Creates a processor of responses.
    *
-   * @param leavings the incarnations known to be draining
+   * @param drainingBackends the incarnations known to be draining
    * @param time clock
    */
-  public BackendAnnouncements(DrainingBackends leavings, Time time) {
-    this.drainAnnouncements = leavings;
+  public BackendAnnouncements(DrainingBackends drainingBackends, Time time) {
+    this.drainingBackends = drainingBackends;
     this.time = time;
   }
 
   /** Processes a response of a backend to this node. May be called on any thread. */
   public void process(TrackedBackend backend, ResponseHead response) {
-    if (response.draining() && drainAnnouncements.recordAnnouncement(backend)) {
+    if (response.draining() && drainingBackends.recordAnnouncement(backend)) {
       drainAnnouncementCount.incrementAndGet();
     }
     if (response.requestedBackoff() instanceof RequestedBackoff.Requested requested) {
@@ -68,7 +68,7 @@
    * @param incarnations the incarnations, by their text forms
    */
   public void processBroadcast(String sender, List<String> incarnations) {
-    drainAnnouncements.recordNotification(sender, incarnations);
+    drainingBackends.recordNotification(sender, incarnations);
   }
 
   /**
@@ -82,7 +82,7 @@
   private void backOff(TrackedBackend backend, long millis) {
     long now = time.monotonicMillis();
     boolean wasBackingOff = backend.backoff().isActive(now);
-    // Nodes that were all asked at the same moment must not all resume at once.
+    // Nodes that received the same backoff at the same moment must not all resume at once.
     long spread = ThreadLocalRandom.current().nextLong(millis / SPREAD_DIVISOR + 1);
     if (backend.backoff().extend(millis + Math.min(spread, MAX_SPREAD_MILLIS), now)) {
       backoffCount.incrementAndGet();
