--- a/gateway/src/main/java/org/lockdale/gateway/limit/Admission.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/Admission.java
@@ -19,6 +19,6 @@
    */
   record Denied(long retryAfterMillis) implements Admission {}
 
-  /** No node could be reached that decides on limits. */
+  /** No node that decides on limits could be reached. */
   record Unknown() implements Admission {}
 }
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PlacementDecider.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PlacementDecider.java
@@ -87,12 +87,12 @@
    * other node may have learned this first.
    *
    * @param target backend at which the request was placed
-   * @param knowsRates whether the other node supports advertised rate limits
+   * @param supportsRates whether the other node supports advertised rate limits
    * @return whether the request may be sent within the share of the limit that this node holds
    */
-  public boolean tryCount(TrackedBackend target, boolean knowsRates) {
+  public boolean tryCount(TrackedBackend target, boolean supportsRates) {
     String id = target.backend().id();
-    return knowsRates && !rates.wasRecentlyAdvertised(id) || rates.tryTake(id);
+    return supportsRates && !rates.wasRecentlyAdvertised(id) || rates.tryTake(id);
   }
 
   /** Returns whether a version of weights is too old for a request to start on it now. */
