--- a/gateway/src/test/java/org/lockdale/gateway/placement/BackendChooserTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/placement/BackendChooserTest.java
@@ -146,8 +146,8 @@
   }
 
   /**
-   * Guards against a few engines with current weights receiving all prompts. It came about in a
-   * rollout that was held up by crashes and by orders carried out late.
+   * Guards against a few engines with current weights receiving all prompts. This happened in a
+   * rollout that was delayed by crashes and by orders carried out late.
    */
   @Test
   public void whereFewEnginesHaveCurrentWeightsPromptsGoToTheirHomes() {
