--- a/gateway/src/test/java/org/lockdale/gateway/placement/BackendChooserTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/placement/BackendChooserTest.java
@@ -146,8 +146,8 @@
   }
 
   /**
-   * Guards against a few engines with current weights receiving all prompts. It came about in a
-   * rollout that was held up by crashes and by orders carried out late.
+   * Guards against a few engines with current weights receiving all prompts. This happened in a
+   * rollout that was delayed by crashes and by orders carried out late.
    */
   @Test
   public void whereFewEnginesHaveCurrentWeightsPromptsGoToTheirHomes() {
@@ -277,8 +277,8 @@
   public void backendsThatFailEquallyGetEqualShares() {
     Map<String, Integer> sent = sendWithoutPrompt(engines(3), 0.07, 0.07, 0.07);
     int total = sent.values().stream().mapToInt(Integer::intValue).sum();
-    int most = Collections.max(sent.values());
-    assertTrue(most < 1.5 * total / 3, sent.toString());
+    int maxSent = Collections.max(sent.values());
+    assertTrue(maxSent < 1.5 * total / 3, sent.toString());
   }
 
   @Test
