--- a/emulator/src/main/java/org/lockdale/emulator/engine/AnswerText.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/AnswerText.java
@@ -4,8 +4,8 @@
 import org.lockdale.coordination.placement.Rendezvous;
 
 /**
- * The answer of a stand-in engine, a function of the prompt alone: whoever knows the prompt can
- * tell whether an answer is its own, whole and in order.
+ * The response text of an emulated engine. It depends on the prompt alone, so that whoever knows
+ * the prompt can verify that a response belongs to it, is complete and is in order.
  */
 public final class AnswerText {
 
@@ -19,7 +19,7 @@
     return LongHashFunction.xx3().hashBytes(prompt);
   }
 
-  /** Returns one token of the answer to a prompt. */
+  /** Returns the token of the response to a prompt at an index, counted from 0. */
   public static String tokenAt(long promptDigest, int index) {
     long value = Rendezvous.weight(promptDigest, index + 1L) >>> 1;
     StringBuilder token = new StringBuilder(TOKEN_LETTERS + 1).append(' ');
@@ -30,12 +30,12 @@
     return token.toString();
   }
 
-  /** Returns the whole answer to a prompt. */
+  /** Returns the complete response to a prompt. */
   public static String whole(long promptDigest, int tokens) {
-    StringBuilder answer = new StringBuilder();
+    StringBuilder text = new StringBuilder();
     for (int index = 0; index < tokens; index++) {
-      answer.append(tokenAt(promptDigest, index));
+      text.append(tokenAt(promptDigest, index));
     }
-    return answer.toString();
+    return text.toString();
   }
 }
--- a/emulator/src/main/java/org/lockdale/emulator/engine/Attempt.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/Attempt.java
@@ -1,31 +1,31 @@
 package org.lockdale.emulator.engine;
 
-/** An attempt inside an engine. */
+/** The state of an attempt in an engine. */
 final class Attempt {
 
   final EngineRequest request;
-  final long arrival;
+  final long arrivalNumber;
   EngineOutput output;
   AttemptFate fate = AttemptFate.NEVER_STARTED;
   int cachedTokens;
-  int prefillLeft;
-  int generated;
+  int remainingPrefillTokens;
+  int generatedTokens;
 
   Attempt(EngineRequest request, long arrival, EngineOutput output) {
     this.request = request;
-    this.arrival = arrival;
+    this.arrivalNumber = arrival;
     this.output = output;
   }
 
   boolean isPrefilling() {
-    return prefillLeft > 0;
+    return remainingPrefillTokens > 0;
   }
 
-  boolean isWhole() {
-    return generated >= request.maxTokens();
+  boolean isComplete() {
+    return generatedTokens >= request.maxTokens();
   }
 
   EngineUsage usage() {
-    return new EngineUsage(request.promptTokens(), cachedTokens, generated);
+    return new EngineUsage(request.promptTokens(), cachedTokens, generatedTokens);
   }
 }
--- a/emulator/src/main/java/org/lockdale/emulator/engine/AttemptFate.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/AttemptFate.java
@@ -1,13 +1,13 @@
 package org.lockdale.emulator.engine;
 
-/** What an engine knows of an attempt it is asked about or told to cancel. */
+/** State of an attempt, as an engine reports it in reply to a query or a cancellation. */
 public enum AttemptFate {
-  /** It did not run; a tombstone makes sure that it never will. */
+  /** It has not run; where it was cancelled, a tombstone ensures that it never will. */
   NEVER_STARTED,
   /** It is running. */
   RUNNING,
   /** It ran in part and was cancelled. */
   CANCELLED,
-  /** It ran to its end. */
+  /** It generated all its tokens. */
   FINISHED
 }
--- a/emulator/src/main/java/org/lockdale/emulator/engine/BlockCache.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/BlockCache.java
@@ -6,30 +6,33 @@
 import org.jspecify.annotations.Nullable;
 import org.lockdale.coordination.placement.PrefixChain;
 
-/** Prefix blocks held by an engine; the least recently used ones go first. */
+/** A cache of prefix blocks that evicts the least recently used ones first. */
 final class BlockCache {
 
   private final int capacity;
   private final CacheEventLog events;
-  private final CacheCensus census;
+  private final CacheCensus holderCounts;
   private final LinkedHashMap<Long, String> ownerByBlock = new LinkedHashMap<>(16, 0.75f, true);
   private long foreignReuses;
 
-  BlockCache(int capacity, CacheEventLog events, CacheCensus census) {
+  BlockCache(int capacity, CacheEventLog events, CacheCensus holderCounts) {
     this.capacity = capacity;
     this.events = events;
-    this.census = census;
+    this.holderCounts = holderCounts;
   }
 
-  /** Returns the number of leading blocks that are held, and marks them as used. */
-  int match(PrefixChain chain, String owner) {
+  /**
+   * Returns the number of leading blocks of a chain that are held, and marks them as used. Blocks
+   * stored by another owner are counted as foreign reuses.
+   */
+  int useHeldPrefix(PrefixChain chain, String owner) {
     int matched = 0;
     while (matched < chain.length()) {
-      String holder = ownerByBlock.get(chain.hashAt(matched));
-      if (holder == null) {
+      String blockOwner = ownerByBlock.get(chain.hashAt(matched));
+      if (blockOwner == null) {
         return matched;
       }
-      if (!holder.equals(owner)) {
+      if (!blockOwner.equals(owner)) {
         foreignReuses++;
       }
       matched++;
@@ -37,8 +40,10 @@
     return matched;
   }
 
-  /** Returns the number of leading blocks that are held, without marking them. */
-  int peek(PrefixChain chain) {
+  /**
+   * Returns the number of leading blocks of a chain that are held, without marking them as used.
+   */
+  int heldPrefixLength(PrefixChain chain) {
     int matched = 0;
     while (matched < chain.length() && ownerByBlock.containsKey(chain.hashAt(matched))) {
       matched++;
@@ -47,7 +52,8 @@
   }
 
   void insert(PrefixChain chain, String owner) {
-    // The deepest block first, so that the shared front of the chain is the last to be evicted.
+    // Inserts the deepest block first, so that the start of the chain, which other prompts share,
+    // is evicted last.
     for (int block = chain.length() - 1; block >= 0; block--) {
       insertBlock(chain.hashAt(block), owner);
     }
@@ -56,25 +62,26 @@
   void insertBlock(long hash, String owner) {
     if (ownerByBlock.put(hash, owner) == null) {
       events.stored(hash);
-      census.stored(hash);
+      holderCounts.stored(hash);
     }
     Iterator<Map.Entry<Long, String>> oldest = ownerByBlock.entrySet().iterator();
     while (ownerByBlock.size() > capacity) {
       long evicted = oldest.next().getKey();
       oldest.remove();
       events.evicted(evicted);
-      census.evicted(evicted);
+      holderCounts.evicted(evicted);
     }
   }
 
-  /** Drops all blocks, as the end of the process does. */
+  /** Removes all blocks without publishing events, as the end of the process does. */
   void clear() {
     for (long hash : ownerByBlock.keySet()) {
-      census.evicted(hash);
+      holderCounts.evicted(hash);
     }
     ownerByBlock.clear();
   }
 
+  /** Returns the owner that last stored a block, or null if the block is not held. */
   @Nullable String ownerOf(long hash) {
     return ownerByBlock.get(hash);
   }
@@ -83,7 +90,7 @@
     return ownerByBlock.size();
   }
 
-  /** Returns how many blocks were reused for another owner than the one that stored them. */
+  /** Returns how many times a block was reused for an owner other than the one that stored it. */
   long foreignReuses() {
     return foreignReuses;
   }
--- a/emulator/src/main/java/org/lockdale/emulator/engine/CacheCensus.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/CacheCensus.java
@@ -5,8 +5,9 @@
 import org.lockdale.coordination.placement.PrefixChain;
 
 /**
- * Counts over all engines of one process how many hold a block, without lag: the yardstick for
- * wasted recomputation. Safe for use by several threads.
+ * Counts how many engines of this process hold each prefix block, without the delay and loss of
+ * cache events. Serves as the reference for wasted recomputation, that is of blocks that another
+ * engine held. Safe for use by several threads.
  */
 public final class CacheCensus {
 
@@ -20,8 +21,8 @@
     holders.computeIfPresent(hash, (key, count) -> count == 1 ? null : count - 1);
   }
 
-  /** Returns the number of leading blocks of a chain that some engine holds. */
-  public int heldAnywhere(PrefixChain chain) {
+  /** Returns the number of leading blocks of a chain that are each held by at least one engine. */
+  public int heldPrefixLength(PrefixChain chain) {
     int depth = 0;
     while (depth < chain.length() && holders.containsKey(chain.hashAt(depth))) {
       depth++;
--- a/emulator/src/main/java/org/lockdale/emulator/engine/CacheEventLog.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/CacheEventLog.java
@@ -7,10 +7,20 @@
 import java.util.function.LongSupplier;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Cache events as an engine publishes them: late, bounded, and with gaps in their numbers. */
+/**
+ * The cache events that an engine publishes: delayed, limited to the newest 8,192, and with gaps in
+ * their numbers where events were lost.
+ */
 final class CacheEventLog {
 
-  /** A change of the cache. */
+  /**
+   * A block that was stored or evicted.
+   *
+   * @param number counted from 1, including lost events
+   * @param stored whether the block was stored, else evicted
+   * @param hash hash of the block
+   * @param publishedAtMicros time from which the event is visible, by the engine's clock
+   */
   record CacheEvent(long number, boolean stored, long hash, long publishedAtMicros) {}
 
   private static final int MAX_EVENTS = 8_192;
@@ -49,6 +59,7 @@
     }
   }
 
+  /** Returns the events published so far whose numbers are higher than a number. */
   List<CacheEvent> publishedAfter(long number) {
     long now = nowMicros.getAsLong();
     List<CacheEvent> published = new ArrayList<>();
--- a/emulator/src/main/java/org/lockdale/emulator/engine/EngineHttpHandler.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/EngineHttpHandler.java
@@ -20,7 +20,7 @@
 import org.lockdale.openai.HeaderNames;
 import org.lockdale.openai.InvalidRequestException;
 
-/** The HTTP interface of a stand-in engine; every request is served on the engine's event loop. */
+/** The HTTP interface of an emulated engine; handles every request on the engine's event loop. */
 final class EngineHttpHandler implements HttpHandler {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -45,9 +45,9 @@
     try {
       String path = exchange.path();
       if (path.equals(CompletionRequest.Kind.CHAT.path())) {
-        complete(exchange, CompletionRequest.Kind.CHAT);
+        handleCompletion(exchange, CompletionRequest.Kind.CHAT);
       } else if (path.equals(CompletionRequest.Kind.TEXT.path())) {
-        complete(exchange, CompletionRequest.Kind.TEXT);
+        handleCompletion(exchange, CompletionRequest.Kind.TEXT);
       } else if (path.startsWith(ATTEMPTS)) {
         routeAttempt(exchange, path.substring(ATTEMPTS.length()));
       } else {
@@ -67,7 +67,7 @@
         long after = Long.parseLong(exchange.uri().substring(path.length() + "?after=".length()));
         exchange.reply(json(engine.model().cacheEventsAfter(after)));
       }
-      case "/v1/orders" -> order(exchange);
+      case "/v1/orders" -> handleOrder(exchange);
       case "/faults/freeze" -> {
         engine.freeze();
         exchange.reply(HttpReply.empty(204));
@@ -84,19 +84,20 @@
         if (path.startsWith("/v1/kv/")) {
           transferBlock(exchange, Long.parseUnsignedLong(path.substring("/v1/kv/".length()), HEX));
         } else {
-          exchange.reply(error(404, "unknown_path", "The engine has no " + path + "."));
+          exchange.reply(error(404, "unknown_path", "The path " + path + " does not exist."));
         }
       }
     }
   }
 
-  private void order(HttpExchange exchange) throws IOException {
+  private void handleOrder(HttpExchange exchange) throws IOException {
     EngineOrder order = MAPPER.readValue(exchange.body(), EngineOrder.class);
-    boolean done = engine.model().order(order);
+    boolean executed = engine.model().execute(order);
     exchange.reply(
-        done
+        executed
             ? HttpReply.empty(204)
-            : error(409, "stale_fencing_token", "A later lease holder gave an order."));
+            : error(
+                409, "stale_fencing_token", "An order with a newer fencing token was received."));
   }
 
   private void transferBlock(HttpExchange exchange, long hash) {
@@ -112,23 +113,23 @@
             : HttpReply.text(200, owner));
   }
 
-  private void complete(HttpExchange exchange, CompletionRequest.Kind kind) {
+  private void handleCompletion(HttpExchange exchange, CompletionRequest.Kind kind) {
     CompletionRequest body = CompletionRequest.parse(kind, exchange.body());
     EngineRequest request = requestOf(exchange, body);
     CompletionJson json = new CompletionJson(kind, "cmpl-" + request.attemptId(), body.model());
     String incarnation = engine.model().incarnation();
-    StreamedAnswer answer =
+    ResponseOutput output =
         body.stream()
-            ? new EventStreamAnswer(exchange, json, request.attemptId(), incarnation)
-            : new WholeAnswer(exchange, json, request.attemptId(), incarnation);
-    SubmitResult result = engine.model().submit(request, answer);
+            ? new EventStreamResponse(exchange, json, request.attemptId(), incarnation)
+            : new JsonResponse(exchange, json, request.attemptId(), incarnation);
+    SubmitResult result = engine.model().submit(request, output);
     if (result != SubmitResult.ACCEPTED) {
-      HttpReply refusal =
-          error(result.status(), result.code(), "The engine refused the attempt; it did not run.");
-      exchange.reply(refusal.with(HeaderNames.ENGINE_INCARNATION, incarnation));
+      HttpReply rejection =
+          error(result.status(), result.code(), "The engine rejected the attempt; it did not run.");
+      exchange.reply(rejection.with(HeaderNames.ENGINE_INCARNATION, incarnation));
       return;
     }
-    answer.start();
+    output.start();
     engine.wake();
   }
 
@@ -153,7 +154,7 @@
         Integer.parseInt(header(exchange, HeaderNames.PRIORITY, "0")));
   }
 
-  /** An adapter is asked for as {@code model:adapter}. */
+  /** Returns the model name without the adapter of {@code model:adapter}. */
   private static String modelOf(CompletionRequest body) {
     int colon = body.model().indexOf(':');
     return colon < 0 ? body.model() : body.model().substring(0, colon);
@@ -187,15 +188,15 @@
             ? CompletionRequest.Kind.CHAT
             : CompletionRequest.Kind.TEXT;
     String incarnation = engine.model().incarnation();
-    EventStreamAnswer answer =
-        new EventStreamAnswer(
+    EventStreamResponse output =
+        new EventStreamResponse(
             exchange, new CompletionJson(kind, "cmpl-" + attemptId, model), attemptId, incarnation);
     if (engine.model().fateOf(attemptId) == AttemptFate.NEVER_STARTED) {
-      exchange.reply(error(404, "unknown_attempt", "The attempt is not known here."));
+      exchange.reply(error(404, "unknown_attempt", "The attempt is unknown."));
       return;
     }
-    answer.start();
-    if (!engine.model().resume(attemptId, Integer.parseInt(last) + 1, answer)) {
+    output.start();
+    if (!engine.model().resume(attemptId, Integer.parseInt(last) + 1, output)) {
       exchange.abort();
     }
   }
--- a/emulator/src/main/java/org/lockdale/emulator/engine/EngineModel.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/EngineModel.java
@@ -15,9 +15,10 @@
 import org.lockdale.coordination.placement.PrefixChain;
 
 /**
- * An engine without I/O and without a clock of its own, so that the same model serves behind HTTP
- * and in simulations. It works in steps: {@link #beginStep} tells how long the next step takes,
- * {@link #completeStep} delivers what it brought. Not safe for use by several threads.
+ * Model of an inference engine with continuous batching. It does no I/O and reads the time from a
+ * given clock, so that the same model runs behind HTTP and in simulations. It works in steps:
+ * {@link #beginStep} plans a step and returns its duration, {@link #completeStep} delivers its
+ * tokens. Not safe for use by several threads.
  */
 public final class EngineModel {
 
@@ -29,15 +30,15 @@
   private final EngineSettings settings;
   private final String incarnation;
   private final LongSupplier nowMicros;
-  private final Consumer<RunRecord> ledger;
+  private final Consumer<RunRecord> runListener;
   private final CacheEventLog events;
   private final BlockCache cache;
-  private final CacheCensus census;
+  private final CacheCensus holderCounts;
   private final Map<String, String> weights;
   private final PriorityQueue<Attempt> queue =
       new PriorityQueue<>(
           Comparator.<Attempt>comparingInt(attempt -> -attempt.request.priority())
-              .thenComparingLong(attempt -> attempt.arrival));
+              .thenComparingLong(attempt -> attempt.arrivalNumber));
   private final List<Attempt> running = new ArrayList<>();
   private final Map<String, Attempt> attempts = new BoundedMap<>(MAX_REMEMBERED_ATTEMPTS);
   private final Map<String, Boolean> tombstones = new BoundedMap<>(MAX_REMEMBERED_ATTEMPTS);
@@ -53,26 +54,26 @@
    * Creates an empty engine.
    *
    * @param settings speed and size
-   * @param incarnation differs from that of any earlier life
+   * @param incarnation differs from that of any earlier run of the engine
    * @param random decides which cache events are lost
-   * @param nowMicros the engine's clock
-   * @param ledger hears of every attempt that runs, before it does
-   * @param census counts the blocks of all engines of this process
+   * @param nowMicros the engine's clock in microseconds
+   * @param runListener receives the record of every attempt before it runs
+   * @param holderCounts counts the holders of each block over all engines of this process
    */
   public EngineModel(
       EngineSettings settings,
       String incarnation,
       UniformRandomProvider random,
       LongSupplier nowMicros,
-      Consumer<RunRecord> ledger,
-      CacheCensus census) {
+      Consumer<RunRecord> runListener,
+      CacheCensus holderCounts) {
     this.settings = settings;
     this.incarnation = incarnation;
     this.nowMicros = nowMicros;
-    this.ledger = ledger;
+    this.runListener = runListener;
     this.events = new CacheEventLog(settings, random, nowMicros);
-    this.census = census;
-    this.cache = new BlockCache(settings.cacheBlocks(), events, census);
+    this.holderCounts = holderCounts;
+    this.cache = new BlockCache(settings.cacheBlocks(), events, holderCounts);
     this.weights = new HashMap<>(settings.weights());
   }
 
@@ -81,16 +82,16 @@
     return incarnation;
   }
 
-  /** Returns the weights version of a model, or null where it is not loaded. */
+  /** Returns the weights version of a model, or null if it is not loaded. */
   public @Nullable String weightsVersion(String model) {
     return weights.get(model);
   }
 
-  /** Offers a request; its output goes to the listener where it is accepted. */
+  /** Submits a request; if it is accepted, {@code output} receives its output. */
   public SubmitResult submit(EngineRequest request, EngineOutput output) {
-    SubmitResult refusal = refusalOf(request);
-    if (refusal != SubmitResult.ACCEPTED) {
-      return refusal;
+    SubmitResult rejection = validate(request);
+    if (rejection != SubmitResult.ACCEPTED) {
+      return rejection;
     }
     Attempt attempt = new Attempt(request, arrivals, output);
     arrivals++;
@@ -99,7 +100,7 @@
     return SubmitResult.ACCEPTED;
   }
 
-  private SubmitResult refusalOf(EngineRequest request) {
+  private SubmitResult validate(EngineRequest request) {
     if (!matches(request.expectedIncarnation(), incarnation)) {
       return SubmitResult.INCARNATION_MISMATCH;
     }
@@ -127,10 +128,10 @@
   }
 
   /**
-   * Cancels an attempt. One that did not run leaves a tombstone, so that it is refused should it
-   * arrive late.
+   * Cancels an attempt. One that did not run leaves a tombstone, so that it is rejected if it
+   * arrives later.
    *
-   * @return what became of it
+   * @return the state after the cancellation
    */
   public AttemptFate cancel(String attemptId) {
     Attempt attempt = attempts.get(attemptId);
@@ -152,17 +153,19 @@
     return attempt.fate;
   }
 
-  /** Returns what is known of an attempt. */
+  /**
+   * Returns the state of an attempt, {@link AttemptFate#NEVER_STARTED} if it is queued or unknown.
+   */
   public AttemptFate fateOf(String attemptId) {
     Attempt attempt = attempts.get(attemptId);
     return attempt == null ? AttemptFate.NEVER_STARTED : attempt.fate;
   }
 
   /**
-   * Sends the output of an attempt again from a token on, and what is still to come.
+   * Redirects the output of an attempt, beginning with a repetition of the tokens from an index on.
    *
-   * @param firstIndex index of the first token wanted
-   * @return whether the attempt is running or finished and can be resumed
+   * @param firstIndex index of the first token to send
+   * @return whether the attempt is running or finished; otherwise nothing is sent
    */
   public boolean resume(String attemptId, int firstIndex, EngineOutput output) {
     Attempt attempt = attempts.get(attemptId);
@@ -173,7 +176,7 @@
       return false;
     }
     attempt.output = output;
-    for (int index = firstIndex; index < attempt.generated; index++) {
+    for (int index = firstIndex; index < attempt.generatedTokens; index++) {
       output.onToken(index, AnswerText.tokenAt(attempt.request.promptDigest(), index));
     }
     if (attempt.fate == AttemptFate.FINISHED) {
@@ -182,20 +185,20 @@
     return true;
   }
 
-  /** Returns the duration of the next step in microseconds, or -1 where there is nothing to do. */
+  /** Plans the next step and returns its duration in microseconds, or -1 if there is no work. */
   public long beginStep() {
     admit();
     prefillPlan.clear();
     decodePlan.clear();
-    int budget = settings.prefillTokensPerStep();
+    int remainingBudget = settings.prefillTokensPerStep();
     int prefillTokens = 0;
     for (Attempt attempt : running) {
       if (!attempt.isPrefilling()) {
         decodePlan.add(attempt);
-      } else if (budget > 0) {
-        int part = Math.min(budget, attempt.prefillLeft);
+      } else if (remainingBudget > 0) {
+        int part = Math.min(remainingBudget, attempt.remainingPrefillTokens);
         prefillPlan.put(attempt, part);
-        budget -= part;
+        remainingBudget -= part;
         prefillTokens += part;
       }
     }
@@ -213,14 +216,14 @@
     while (running.size() < settings.maxRunning() && !queue.isEmpty()) {
       Attempt attempt = queue.poll();
       EngineRequest request = attempt.request;
-      int matchedBlocks = cache.match(request.chain(), request.owner());
-      // At least one token is computed, as real engines need its logits.
+      int matchedBlocks = cache.useHeldPrefix(request.chain(), request.owner());
+      // At least one prompt token is computed, as real engines need its logits to generate.
       attempt.cachedTokens =
           Math.min(matchedBlocks * TOKENS_PER_BLOCK, Math.max(0, request.promptTokens() - 1));
-      attempt.prefillLeft = request.promptTokens() - attempt.cachedTokens;
+      attempt.remainingPrefillTokens = request.promptTokens() - attempt.cachedTokens;
       attempt.fate = AttemptFate.RUNNING;
       running.add(attempt);
-      ledger.accept(
+      runListener.accept(
           new RunRecord(
               settings.id(),
               incarnation,
@@ -229,22 +232,22 @@
               request.promptDigest(),
               request.promptTokens(),
               attempt.cachedTokens,
-              heldElsewhere(attempt),
+              tokensHeldElsewhere(attempt),
               nowMicros.getAsLong()));
     }
   }
 
-  /** Returns prompt tokens that must be computed here although another engine holds them. */
-  private int heldElsewhere(Attempt attempt) {
-    int heldTokens = census.heldAnywhere(attempt.request.chain()) * TOKENS_PER_BLOCK;
+  /** Returns the number of prompt tokens that are computed here although an engine holds them. */
+  private int tokensHeldElsewhere(Attempt attempt) {
+    int heldTokens = holderCounts.heldPrefixLength(attempt.request.chain()) * TOKENS_PER_BLOCK;
     return Math.max(0, Math.min(heldTokens, attempt.request.promptTokens()) - attempt.cachedTokens);
   }
 
-  /** Applies the step that was begun and delivers its tokens. */
+  /** Completes the step that {@link #beginStep} planned and delivers its tokens. */
   public void completeStep() {
     for (Map.Entry<Attempt, Integer> planned : prefillPlan.entrySet()) {
       Attempt attempt = planned.getKey();
-      attempt.prefillLeft -= planned.getValue();
+      attempt.remainingPrefillTokens -= planned.getValue();
       if (!attempt.isPrefilling() && attempt.fate == AttemptFate.RUNNING) {
         cache.insert(attempt.request.chain(), attempt.request.owner());
         generate(attempt);
@@ -259,40 +262,40 @@
   }
 
   private void generate(Attempt attempt) {
-    int index = attempt.generated;
-    attempt.generated++;
+    int index = attempt.generatedTokens;
+    attempt.generatedTokens++;
     attempt.output.onToken(index, AnswerText.tokenAt(attempt.request.promptDigest(), index));
-    if (attempt.isWhole() && attempt.fate == AttemptFate.RUNNING) {
+    if (attempt.isComplete() && attempt.fate == AttemptFate.RUNNING) {
       attempt.fate = AttemptFate.FINISHED;
       attempt.output.onFinished(attempt.usage());
     }
   }
 
-  /** Returns the load report, which is made anew only when it has reached its age. */
+  /** Returns the load report, which is renewed after {@code loadReportMicros} or an order. */
   public LoadReport loadReport() {
     long now = nowMicros.getAsLong();
     LoadReport report = lastReport;
     if (report == null || now - lastReportMicros >= settings.loadReportMicros()) {
-      report = measureLoad();
+      report = createLoadReport();
       lastReport = report;
       lastReportMicros = now;
     }
     return report;
   }
 
-  /** Returns prompt tokens not yet computed, of waiting and running requests. */
+  /** Returns the number of prompt tokens of queued and running requests not yet computed. */
   public long pendingPromptTokens() {
     long promptTokens = 0;
     for (Attempt attempt : queue) {
       promptTokens += attempt.request.promptTokens();
     }
     for (Attempt attempt : running) {
-      promptTokens += attempt.prefillLeft;
+      promptTokens += attempt.remainingPrefillTokens;
     }
     return promptTokens;
   }
 
-  private LoadReport measureLoad() {
+  private LoadReport createLoadReport() {
     long promptTokens = pendingPromptTokens();
     double stepPrefillMicros =
         settings.stepMicros() + settings.prefillTokensPerStep() * settings.prefillMicrosPerToken();
@@ -315,11 +318,11 @@
   }
 
   /**
-   * Takes an order of the system if its fencing token is not older than one seen before.
+   * Executes an order unless its fencing token is lower than one received before.
    *
-   * @return whether the order was carried out
+   * @return whether the order was executed
    */
-  public boolean order(EngineOrder order) {
+  public boolean execute(EngineOrder order) {
     if (order.fencingToken() < highestFencingToken) {
       return false;
     }
@@ -329,34 +332,36 @@
       case UNLOAD_WEIGHTS -> weights.remove(order.model());
       case LEAVE -> leaving = true;
       case RETURN -> leaving = false;
-      default -> throw new IllegalStateException("no such action: " + order.action());
+      default -> throw new IllegalStateException("unknown action: " + order.action());
     }
     lastReport = null;
     return true;
   }
 
-  /** Returns cache events published after a number. */
+  /** Returns the published cache events whose numbers are higher than a number. */
   List<CacheEventLog.CacheEvent> cacheEventsAfter(long number) {
     return events.publishedAfter(number);
   }
 
-  /** Returns the blocks held, for export, import and the oracle of experiments. */
+  /**
+   * Returns the number of leading blocks of a chain that are held; experiments use it as an oracle.
+   */
   public int cachedPrefix(PrefixChain chain) {
-    return cache.peek(chain);
+    return cache.heldPrefixLength(chain);
   }
 
-  /** Returns the owner of a block for export, or null where it is not held. */
+  /** Returns the owner of a block for export, or null if the block is not held. */
   public @Nullable String exportBlock(long hash) {
     return cache.ownerOf(hash);
   }
 
-  /** Takes a block over from another engine. */
+  /** Stores a block that was exported by another engine. */
   public void importBlock(long hash, String owner) {
     cache.insertBlock(hash, owner);
   }
 
-  /** Breaks off all attempts, as a crash does. */
-  public void breakAll(String reason) {
+  /** Aborts all attempts and empties the cache, as a crash does. */
+  public void abortAll(String reason) {
     List<Attempt> open = new ArrayList<>(running);
     open.addAll(queue);
     running.clear();
@@ -368,12 +373,12 @@
     }
   }
 
-  /** Returns attempts that run or wait. */
+  /** Returns the number of attempts that are running or queued. */
   public int activeAttempts() {
     return running.size() + queue.size();
   }
 
-  /** Returns how many blocks were reused for another owner than the one that stored them. */
+  /** Returns how many times a block was reused for an owner other than the one that stored it. */
   public long foreignReuses() {
     return cache.foreignReuses();
   }
--- a/emulator/src/main/java/org/lockdale/emulator/engine/EngineOrder.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/EngineOrder.java
@@ -1,24 +1,24 @@
 package org.lockdale.emulator.engine;
 
 /**
- * An order of the system to an engine.
+ * An administrative order to an engine.
  *
- * @param fencingToken token of the lease under which the order is given; older ones are refused
- * @param action what to do
- * @param model model concerned, or an empty string
+ * @param fencingToken token of the lease under which the order is given; lower tokens are rejected
+ * @param action action to execute
+ * @param model model to load or unload, or an empty string
  * @param version weights version to load, or an empty string
  */
 public record EngineOrder(long fencingToken, Action action, String model, String version) {
 
-  /** What an engine can be told to do. */
+  /** Action that an engine executes. */
   public enum Action {
-    /** Load a weights version of a model, in place of an earlier one. */
+    /** Loads a weights version of a model and replaces the present one. */
     LOAD_WEIGHTS,
-    /** Unload a model. */
+    /** Unloads a model. */
     UNLOAD_WEIGHTS,
-    /** Take no new work. */
+    /** Starts draining: rejects new requests. */
     LEAVE,
-    /** Take new work again. */
+    /** Stops draining: accepts new requests again. */
     RETURN
   }
 }
--- a/emulator/src/main/java/org/lockdale/emulator/engine/EngineOutput.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/EngineOutput.java
@@ -10,9 +10,9 @@
    */
   void onToken(int index, String text);
 
-  /** Called when all tokens have come. */
+  /** Called after the last token. */
   void onFinished(EngineUsage usage);
 
-  /** Called when no more tokens will come although the answer is not whole. */
+  /** Called when the output ends before the response is complete. */
   void onBroken(String reason);
 }
--- a/emulator/src/main/java/org/lockdale/emulator/engine/EngineServer.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/EngineServer.java
@@ -12,18 +12,18 @@
 import org.lockdale.http.HttpServer;
 import org.lockdale.http.HttpServerSettings;
 
-/** Serves an {@link EngineModel} over HTTP; the model lives on one event loop. */
+/** Serves an {@link EngineModel} over HTTP; the model is confined to one event loop. */
 public final class EngineServer implements Closeable {
 
-  private static final AtomicLong NEXT_LIFE = new AtomicLong();
+  private static final AtomicLong INCARNATION_COUNTER = new AtomicLong();
   private static final int MAX_BODY_BYTES = 16 * 1024 * 1024;
   private static final int MAX_HEADER_BYTES = 32 * 1024;
   private static final int MAX_CONNECTIONS = 16_384;
 
   private final EngineSettings settings;
   private final EventLoop eventLoop;
-  private final Consumer<RunRecord> ledger;
-  private final CacheCensus census;
+  private final Consumer<RunRecord> runListener;
+  private final CacheCensus holderCounts;
   private final long startNanos = System.nanoTime();
   private volatile EngineModel model;
   private volatile boolean frozen;
@@ -33,12 +33,12 @@
   private EngineServer(
       EngineSettings settings,
       EventLoop eventLoop,
-      Consumer<RunRecord> ledger,
-      CacheCensus census) {
-    this.census = census;
+      Consumer<RunRecord> runListener,
+      CacheCensus holderCounts) {
+    this.holderCounts = holderCounts;
     this.settings = settings;
     this.eventLoop = eventLoop;
-    this.ledger = ledger;
+    this.runListener = runListener;
     this.model = newModel();
   }
 
@@ -46,18 +46,18 @@
    * Starts an engine.
    *
    * @param settings speed and size
-   * @param address where to listen
+   * @param address address to listen on
    * @param group event loops for connections, one of which runs the model
-   * @param ledger hears of every attempt that runs, on the engine's thread
-   * @param census counts the blocks of all engines of this process
+   * @param runListener receives the record of every attempt before it runs, on the engine's thread
+   * @param holderCounts counts the holders of each block over all engines of this process
    */
   public static EngineServer start(
       EngineSettings settings,
       InetSocketAddress address,
       EventLoopGroup group,
-      Consumer<RunRecord> ledger,
-      CacheCensus census) {
-    EngineServer engine = new EngineServer(settings, group.next(), ledger, census);
+      Consumer<RunRecord> runListener,
+      CacheCensus holderCounts) {
+    EngineServer engine = new EngineServer(settings, group.next(), runListener, holderCounts);
     HttpServerSettings limits =
         new HttpServerSettings(
             address,
@@ -71,23 +71,27 @@
   }
 
   private EngineModel newModel() {
-    // Two lives in one process within a millisecond must differ as well.
+    // The counter distinguishes incarnations created within the same millisecond.
     String incarnation =
-        settings.id() + "-" + System.currentTimeMillis() + "-" + NEXT_LIFE.incrementAndGet();
+        settings.id()
+            + "-"
+            + System.currentTimeMillis()
+            + "-"
+            + INCARNATION_COUNTER.incrementAndGet();
     return new EngineModel(
         settings,
         incarnation,
         RandomSource.XO_RO_SHI_RO_128_PP.create(incarnation.hashCode()),
         this::nowMicros,
-        ledger,
-        census);
+        runListener,
+        holderCounts);
   }
 
   private long nowMicros() {
     return TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startNanos);
   }
 
-  /** Returns the address that was bound. */
+  /** Returns the bound address. */
   public InetSocketAddress address() {
     return server.address();
   }
@@ -97,12 +101,15 @@
     return settings;
   }
 
-  /** Returns attempts that run or wait; may be called anywhere. */
+  /** Returns the number of running and queued attempts. Must not be called on the event loop. */
   public int activeAttempts() {
     return eventLoop.submit(() -> model.activeAttempts()).awaitUninterruptibly().getNow();
   }
 
-  /** Returns how many blocks the present life reused for another owner; may be called anywhere. */
+  /**
+   * Returns how many times the present incarnation reused a block for an owner other than the one
+   * that stored it. Must not be called on the event loop.
+   */
   public long foreignReuses() {
     return eventLoop.submit(() -> model.foreignReuses()).awaitUninterruptibly().getNow();
   }
@@ -116,7 +123,7 @@
     return eventLoop;
   }
 
-  /** Makes sure that steps go on while there is work; to be called on the event loop. */
+  /** Starts the step loop if it is idle and not frozen; must be called on the event loop. */
   void wake() {
     if (!stepping && !frozen) {
       step();
@@ -146,7 +153,7 @@
     frozen = true;
   }
 
-  /** Goes on after {@link #freeze}. */
+  /** Resumes computation after {@link #freeze}. */
   public void thaw() {
     eventLoop.execute(
         () -> {
@@ -156,39 +163,42 @@
   }
 
   /**
-   * Takes no new work from now on, and says so in its load reports.
+   * Starts draining: rejects new requests and reports it in the load reports.
    *
-   * @return the incarnation that leaves
+   * @return the incarnation that drains
    */
   public String leave() {
     EngineOrder order = new EngineOrder(Long.MAX_VALUE, EngineOrder.Action.LEAVE, "", "");
     return eventLoop
         .submit(
             () -> {
-              model.order(order);
+              model.execute(order);
               return model.incarnation();
             })
         .awaitUninterruptibly()
         .getNow();
   }
 
-  /** Loads other weights of a model at once; cached blocks of the old ones stay, as a trap. */
+  /**
+   * Loads another weights version of a model immediately. Cached blocks of the old version stay, so
+   * that their reuse is detected as foreign reuse.
+   */
   public void loadWeights(String modelName, String version) {
     EngineOrder order =
         new EngineOrder(Long.MAX_VALUE, EngineOrder.Action.LOAD_WEIGHTS, modelName, version);
-    eventLoop.submit(() -> model.order(order)).awaitUninterruptibly();
+    eventLoop.submit(() -> model.execute(order)).awaitUninterruptibly();
   }
 
-  /** Breaks all connections while the engine goes on with its work. */
+  /** Closes all connections while the engine keeps running its attempts. */
   public void dropConnections() {
     server.dropConnections();
   }
 
-  /** Loses all state and comes back empty with a new incarnation; open streams break off. */
+  /** Aborts open streams, loses all state and restarts empty with a new incarnation. */
   public void crash() {
     eventLoop.execute(
         () -> {
-          model.breakAll("the engine crashed");
+          model.abortAll("the engine crashed");
           model = newModel();
           stepping = false;
         });
--- a/emulator/src/main/java/org/lockdale/emulator/engine/EngineUsage.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/EngineUsage.java
@@ -1,10 +1,10 @@
 package org.lockdale.emulator.engine;
 
 /**
- * What an attempt cost.
+ * Token counts of an attempt.
  *
- * @param promptTokens length of the prompt
- * @param cachedTokens part of the prompt that was found in the cache
- * @param completionTokens tokens generated
+ * @param promptTokens length of the prompt in tokens
+ * @param cachedTokens prompt tokens found in the cache
+ * @param completionTokens generated tokens
  */
 public record EngineUsage(int promptTokens, int cachedTokens, int completionTokens) {}
--- a/emulator/src/main/java/org/lockdale/emulator/engine/EventStreamAnswer.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/EventStreamResponse.java
@@ -11,7 +11,7 @@
 import org.lockdale.openai.HeaderNames;
 
 /** Sends output as server-sent events; the id of an event is the index of its token. */
-final class EventStreamAnswer implements StreamedAnswer {
+final class EventStreamResponse implements ResponseOutput {
 
   private static final byte[] DONE =
       ServerSentEventDecoder.DONE.getBytes(StandardCharsets.US_ASCII);
@@ -21,7 +21,7 @@
   private final String attemptId;
   private final String incarnation;
 
-  EventStreamAnswer(
+  EventStreamResponse(
       HttpExchange exchange, CompletionJson json, String attemptId, String incarnation) {
     this.exchange = exchange;
     this.json = json;
--- a/emulator/src/main/java/org/lockdale/emulator/engine/WholeAnswer.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/JsonResponse.java
@@ -5,8 +5,8 @@
 import org.lockdale.openai.CompletionJson;
 import org.lockdale.openai.HeaderNames;
 
-/** Collects output and sends it as one JSON body. */
-final class WholeAnswer implements StreamedAnswer {
+/** Collects output and sends it as one JSON body when it is complete. */
+final class JsonResponse implements ResponseOutput {
 
   private final HttpExchange exchange;
   private final CompletionJson json;
@@ -14,7 +14,7 @@
   private final String incarnation;
   private final StringBuilder text = new StringBuilder();
 
-  WholeAnswer(HttpExchange exchange, CompletionJson json, String attemptId, String incarnation) {
+  JsonResponse(HttpExchange exchange, CompletionJson json, String attemptId, String incarnation) {
     this.exchange = exchange;
     this.json = json;
     this.attemptId = attemptId;
@@ -23,7 +23,7 @@
 
   @Override
   public void start() {
-    // Nothing is sent before the answer is whole.
+    // Nothing is sent before the response is complete.
   }
 
   @Override
--- a/emulator/src/main/java/org/lockdale/emulator/engine/LoadReport.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/LoadReport.java
@@ -3,21 +3,21 @@
 import java.util.Map;
 
 /**
- * What an engine tells of itself; as old as the engine's reports lag.
+ * Load and state that an engine reports, which may lag behind its actual state.
  *
  * @param id engine id
  * @param incarnation changes with every restart
  * @param zone zone of the engine
  * @param labels labels of the engine
- * @param leaving whether it takes no new work
+ * @param leaving whether it is draining and rejects new requests
  * @param weights weights version by model
  * @param running sequences in the batch
- * @param queued requests that wait
- * @param queuedPromptTokens prompt tokens not yet computed, of waiting and running requests
- * @param maxRunning most sequences in one batch
- * @param prefillTokensPerSecond speed of prefill on an otherwise idle engine
- * @param cachedBlocks blocks held
- * @param ageMicros time since the report was made
+ * @param queued requests that wait for a place in the batch
+ * @param queuedPromptTokens prompt tokens of queued and running requests not yet computed
+ * @param maxRunning maximum number of sequences in a batch
+ * @param prefillTokensPerSecond prompt tokens a second on an otherwise idle engine
+ * @param cachedBlocks prefix blocks in the cache
+ * @param ageMicros age of the report in microseconds; 0 in reports of {@link EngineModel}
  */
 public record LoadReport(
     String id,
--- a/emulator/src/main/java/org/lockdale/emulator/engine/RunRecord.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/RunRecord.java
@@ -1,18 +1,18 @@
 package org.lockdale.emulator.engine;
 
 /**
- * The engine's own note that an attempt truly ran; the ground truth of every check.
+ * Record of an engine that it started to run an attempt. Checks take it as ground truth.
  *
- * @param engineId engine
+ * @param engineId engine id
  * @param incarnation incarnation of the engine
- * @param attemptId attempt
+ * @param attemptId attempt id
  * @param owner tenant, model and weights that the blocks belong to
- * @param promptDigest identifies the prompt
- * @param promptTokens length of the prompt
- * @param cachedTokens part found in the cache
- * @param heldElsewhereTokens part not in the cache although another engine held it, which is wasted
- *     recomputation
- * @param startedAtMicros when prefill began, by the engine's clock
+ * @param promptDigest digest of the prompt
+ * @param promptTokens length of the prompt in tokens
+ * @param cachedTokens prompt tokens found in the cache
+ * @param heldElsewhereTokens prompt tokens not found in the cache although another engine held
+ *     them, which is avoidable recomputation
+ * @param startedAtMicros start time in microseconds by the engine's clock
  */
 public record RunRecord(
     String engineId,
--- a/emulator/src/main/java/org/lockdale/emulator/engine/SubmitResult.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/SubmitResult.java
@@ -1,22 +1,22 @@
 package org.lockdale.emulator.engine;
 
 /**
- * Answer of an engine to a request offered to it; all but {@link #ACCEPTED} mean that nothing ran.
+ * Result of submitting a request to an engine; all but {@link #ACCEPTED} mean that it did not run.
  */
 public enum SubmitResult {
   /** The request is queued. */
   ACCEPTED(200),
-  /** The engine was restarted since the sender heard of it. */
+  /** The sender expected another incarnation; the engine was restarted. */
   INCARNATION_MISMATCH(409),
-  /** The engine holds another weights version. */
+  /** The engine has loaded another weights version. */
   WEIGHTS_MISMATCH(409),
-  /** The engine does not hold the model. */
+  /** The engine has not loaded the model. */
   MODEL_NOT_LOADED(404),
-  /** The engine takes no new work. */
+  /** The engine is draining. */
   LEAVING(503),
   /** The attempt was cancelled before it arrived. */
   TOMBSTONED(409),
-  /** The attempt arrived before. */
+  /** An attempt with this id was already accepted. */
   DUPLICATE_ATTEMPT(409),
   /** The queue is full. */
   QUEUE_FULL(429);
@@ -27,12 +27,12 @@
     this.status = status;
   }
 
-  /** Returns the HTTP status of the answer. */
+  /** Returns the HTTP status of the response. */
   public int status() {
     return status;
   }
 
-  /** Returns the code in the answer's body. */
+  /** Returns the error code in the body of the response. */
   public String code() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
--- a/emulator/src/main/java/org/lockdale/emulator/engine/package-info.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/package-info.java
@@ -1,4 +1,7 @@
-/** Stand-in for a model engine: continuous batching, a bounded prefix cache and true counts. */
+/**
+ * Emulated inference engine with continuous batching, a bounded prefix cache and records of every
+ * run.
+ */
 @NullMarked
 package org.lockdale.emulator.engine;
 
--- a/emulator/src/test/java/org/lockdale/emulator/engine/EngineModelTest.java
+++ b/emulator/src/test/java/org/lockdale/emulator/engine/EngineModelTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The stand-in engine keeps the promises of its page, or proofs that rest on it prove nothing. */
+/** Tests the emulated engine, whose behavior the tests of the whole system rely on. */
 public final class EngineModelTest {
 
   private static final int TOKENS_PER_BLOCK = 64;
@@ -24,7 +24,7 @@
   private long nowMicros;
   private EngineModel engine;
 
-  /** Creates an engine of one place and twenty blocks. */
+  /** Creates an engine that runs one sequence at a time and caches twenty blocks. */
   @BeforeMethod
   public void create() {
     ran.clear();
@@ -63,7 +63,7 @@
     return new EngineRequest(attempt, "life-1", "m", "v1", "t|m|v1", chain, 7, tokens, 3, priority);
   }
 
-  private EngineOutput noting(String attempt) {
+  private EngineOutput recordingOutput(String attempt) {
     return new EngineOutput() {
       @Override
       public void onToken(int index, String text) {
@@ -83,10 +83,10 @@
   }
 
   private SubmitResult submit(String attempt, int blocks, int priority) {
-    return engine.submit(request(attempt, blocks, priority), noting(attempt));
+    return engine.submit(request(attempt, blocks, priority), recordingOutput(attempt));
   }
 
-  private void work(int steps) {
+  private void runSteps(int steps) {
     for (int step = 0; step < steps; step++) {
       long micros = engine.beginStep();
       if (micros < 0) {
@@ -97,12 +97,12 @@
     }
   }
 
-  /** Higher priority runs first, and each answer is whole. */
+  /** Requests of higher priority run first, and each response is complete. */
   @Test
   public void priorityDecides() {
     submit("low", 1, 1);
     submit("high", 1, 9);
-    work(100);
+    runSteps(100);
     assertEquals(
         output,
         List.of(
@@ -117,97 +117,99 @@
   }
 
   /**
-   * A fence that does not match, a second arrival and a full queue are refused, and nothing runs.
+   * Requests that expect another incarnation or other weights, duplicates and requests to a full
+   * queue are rejected and do not run.
    */
   @Test
   public void refusalsRunNothing() {
-    EngineRequest good = request("a", 1, 1);
-    EngineRequest otherLife =
-        new EngineRequest("b", "life-0", "m", "v1", "o", good.chain(), 7, 1, 1, 1);
+    EngineRequest valid = request("a", 1, 1);
+    EngineRequest otherIncarnation =
+        new EngineRequest("b", "life-0", "m", "v1", "o", valid.chain(), 7, 1, 1, 1);
     EngineRequest otherWeights =
-        new EngineRequest("c", "life-1", "m", "v0", "o", good.chain(), 7, 1, 1, 1);
-    assertEquals(engine.submit(otherLife, noting("b")), SubmitResult.INCARNATION_MISMATCH);
-    assertEquals(engine.submit(otherWeights, noting("c")), SubmitResult.WEIGHTS_MISMATCH);
+        new EngineRequest("c", "life-1", "m", "v0", "o", valid.chain(), 7, 1, 1, 1);
+    assertEquals(
+        engine.submit(otherIncarnation, recordingOutput("b")), SubmitResult.INCARNATION_MISMATCH);
+    assertEquals(engine.submit(otherWeights, recordingOutput("c")), SubmitResult.WEIGHTS_MISMATCH);
     assertEquals(submit("a", 1, 1), SubmitResult.ACCEPTED);
     assertEquals(submit("a", 1, 1), SubmitResult.DUPLICATE_ATTEMPT);
     assertEquals(submit("d", 1, 1), SubmitResult.ACCEPTED);
     assertEquals(submit("e", 1, 1), SubmitResult.QUEUE_FULL);
-    work(100);
+    runSteps(100);
     assertEquals(ran.stream().map(RunRecord::attemptId).toList(), List.of("a", "d"));
   }
 
-  /** A cancel before the arrival leaves a tombstone; one in the middle stops the run. */
+  /** A cancellation before the request arrives leaves a tombstone; one during the run stops it. */
   @Test
   public void cancelsAreKept() {
     assertEquals(engine.cancel("late"), AttemptFate.NEVER_STARTED);
     assertEquals(submit("late", 1, 1), SubmitResult.TOMBSTONED);
     submit("running", 1, 1);
     submit("queued", 1, 1);
-    work(1);
+    runSteps(1);
     assertEquals(engine.cancel("running"), AttemptFate.CANCELLED);
     assertEquals(engine.cancel("queued"), AttemptFate.NEVER_STARTED);
-    work(100);
+    runSteps(100);
     assertEquals(output, List.of("running#0", "running broken", "queued broken"));
     assertEquals(ran.size(), 1);
   }
 
-  /** A stream is taken up again from any token on. */
+  /** A stream can be resumed from any token. */
   @Test
   public void streamsCanBeResumed() {
     submit("a", 1, 1);
-    work(2);
+    runSteps(2);
     output.clear();
-    assertTrue(engine.resume("a", 1, noting("again")));
-    work(100);
+    assertTrue(engine.resume("a", 1, recordingOutput("again")));
+    runSteps(100);
     assertEquals(output, List.of("again#1", "again#2", "again finished"));
-    assertFalse(engine.resume("unknown", 0, noting("no")));
+    assertFalse(engine.resume("unknown", 0, recordingOutput("no")));
   }
 
-  /** The second run of a prefix finds it cached; the cache is bounded. */
+  /** The second run of a prefix uses the cached blocks; the cache is bounded. */
   @Test
   public void theCacheIsBounded() {
     submit("first", 10, 1);
-    work(100);
+    runSteps(100);
     submit("second", 10, 1);
-    work(100);
+    runSteps(100);
     assertEquals(ran.get(0).cachedTokens(), 0);
     assertEquals(ran.get(1).cachedTokens(), 10 * TOKENS_PER_BLOCK - 1);
     submit("large", 40, 1);
-    work(100);
+    runSteps(100);
     assertEquals(engine.cachedPrefix(request("x", 40, 1).chain()), 20);
   }
 
-  /** Cache events come late and with gaps, load reports lag. */
+  /** Cache events are delayed and partly lost; load reports lag. */
   @Test
-  public void whatIsToldLags() {
+  public void reportsAndEventsLag() {
     assertEquals(engine.loadReport().running(), 0);
     submit("a", 20, 1);
     engine.beginStep();
-    assertEquals(engine.loadReport().running(), 0, "the report is not old enough to be made anew");
+    assertEquals(engine.loadReport().running(), 0, "the report is not old enough to be renewed");
     engine.completeStep();
-    assertEquals(engine.cacheEventsAfter(0).size(), 0, "nothing is published at once");
+    assertEquals(engine.cacheEventsAfter(0).size(), 0, "events are not published immediately");
     nowMicros += 250_000;
     assertEquals(engine.loadReport().running(), 1);
     int published = engine.cacheEventsAfter(0).size();
     assertTrue(published > 0 && published < 20, "of 20 events " + published + " were published");
   }
 
-  /** An order under an older fencing token is refused. */
+  /** An order with an older fencing token is rejected; a draining engine rejects requests. */
   @Test
   public void ordersAreFenced() {
     EngineOrder newer = new EngineOrder(7, EngineOrder.Action.LOAD_WEIGHTS, "m", "v2");
     EngineOrder older = new EngineOrder(6, EngineOrder.Action.LOAD_WEIGHTS, "m", "v1");
-    assertTrue(engine.order(newer));
-    assertFalse(engine.order(older));
+    assertTrue(engine.execute(newer));
+    assertFalse(engine.execute(older));
     assertEquals(engine.weightsVersion("m"), "v2");
-    assertTrue(engine.order(new EngineOrder(8, EngineOrder.Action.LEAVE, "", "")));
+    assertTrue(engine.execute(new EngineOrder(8, EngineOrder.Action.LEAVE, "", "")));
     EngineRequest request = request("a", 1, 1);
     EngineRequest current =
         new EngineRequest("a", "life-1", "m", "v2", "o", request.chain(), 7, 1, 1, 1);
-    assertEquals(engine.submit(current, noting("a")), SubmitResult.LEAVING);
+    assertEquals(engine.submit(current, recordingOutput("a")), SubmitResult.LEAVING);
   }
 
-  /** A block that is exported by one engine and imported by another counts as cached there. */
+  /** An imported block counts as cached and can be exported. */
   @Test
   public void blocksCanBeMoved() {
     PrefixChain chain = request("a", 2, 1).chain();
@@ -217,12 +219,12 @@
     assertEquals(engine.cachedPrefix(chain), 1);
   }
 
-  /** A reuse across owners is counted: the ground truth of the promise about caches. */
+  /** A reuse of a block for another owner is counted. */
   @Test
   public void foreignReuseIsCounted() {
     engine.importBlock(request("a", 2, 1).chain().hashAt(0), "another|m|v1");
     submit("a", 2, 1);
-    work(100);
+    runSteps(100);
     assertEquals(engine.foreignReuses(), 1);
   }
 }
