--- a/emulator/src/main/java/org/lockdale/emulator/history/HistoryChecker.java
+++ b/emulator/src/main/java/org/lockdale/emulator/history/HistoryChecker.java
@@ -9,16 +9,16 @@
 import org.lockdale.emulator.engine.AnswerText;
 
 /**
- * Judges a history by the users' promises. What truly ran is taken from the engines' own notes,
- * never from what a node says.
+ * Checks a history against the guarantees given to users. Which attempts ran is taken from the
+ * records of the engines, never from the responses of a node.
  */
 public final class HistoryChecker {
 
-  /** Time after which an engine that leaves must get no new work. */
-  private static final long LEAVING_BOUND_MICROS = 5_000_000;
+  /** Time after the announcement that an engine drains within which it may still get new work. */
+  private static final long MAX_DRAIN_NOTICE_MICROS = 5_000_000;
 
-  /** Time within which an accepted configuration must be in force at a node that was up. */
-  private static final long IN_FORCE_BOUND_MICROS = 4_000_000;
+  /** Time within which an accepted configuration must be in force at every node of the history. */
+  private static final long MAX_ACTIVATION_MICROS = 4_000_000;
 
   private final List<String> violations = new ArrayList<>();
   private final Map<Long, List<HistoryEvent.Run>> runsByPrompt = new HashMap<>();
@@ -28,19 +28,19 @@
 
   private HistoryChecker() {}
 
-  /** Judges a history. */
+  /** Returns the result of checking a history. */
   public static Verdict check(List<HistoryEvent> history) {
     HistoryChecker checker = new HistoryChecker();
-    history.forEach(checker::sort);
-    checker.checkAnswers();
+    history.forEach(checker::index);
+    checker.checkResponses();
     checker.checkNotRun();
     checker.checkRunOnce();
-    checker.checkLeaving(history);
+    checker.checkDraining(history);
     checker.checkConfiguration(history);
     return new Verdict(checker.calls, checker.runs, List.copyOf(checker.violations));
   }
 
-  private void sort(HistoryEvent event) {
+  private void index(HistoryEvent event) {
     if (event instanceof HistoryEvent.Call call) {
       calls++;
       callsByPrompt.computeIfAbsent(call.promptDigest(), absent -> new ArrayList<>()).add(call);
@@ -57,24 +57,27 @@
     }
   }
 
-  private void checkAnswers() {
+  private void checkResponses() {
     for (List<HistoryEvent.Call> samePrompt : callsByPrompt.values()) {
       for (HistoryEvent.Call call : samePrompt) {
-        checkAnswer(call);
+        checkResponse(call);
       }
     }
   }
 
-  private void checkAnswer(HistoryEvent.Call call) {
-    String whole = AnswerText.whole(call.promptDigest(), call.expectedTokens());
-    if (call.end() == HistoryEvent.CallEnd.COMPLETE && !call.answer().equals(whole)) {
+  private void checkResponse(HistoryEvent.Call call) {
+    String expected = AnswerText.whole(call.promptDigest(), call.expectedTokens());
+    if (call.end() == HistoryEvent.CallEnd.COMPLETE && !call.answer().equals(expected)) {
       violations.add(
           "call "
               + call.call()
-              + " was told its answer is complete, but it is "
-              + (whole.startsWith(call.answer()) ? "cut short" : "another one or out of order"));
-    } else if (!whole.startsWith(call.answer())) {
-      violations.add("call " + call.call() + " got a part of another answer or out of order");
+              + " ended as complete, but its response is "
+              + (expected.startsWith(call.answer())
+                  ? "cut short"
+                  : "not the expected one or out of order"));
+    } else if (!expected.startsWith(call.answer())) {
+      violations.add(
+          "call " + call.call() + " received a response that is not a prefix of the expected one");
     }
   }
 
@@ -90,7 +93,9 @@
         });
   }
 
-  /** Attempts of a request carry its id in front of their own. */
+  /**
+   * Returns whether an engine ran an attempt of the call; attempt ids begin with the request id.
+   */
   private static boolean ranFor(HistoryEvent.Call call, List<HistoryEvent.Run> sameRuns) {
     return !call.requestId().isEmpty()
         && sameRuns.stream().anyMatch(run -> run.attempt().startsWith(call.requestId()));
@@ -102,24 +107,26 @@
           String key = sameCalls.get(0).idempotencyKey();
           int count = runsByPrompt.getOrDefault(prompt, List.of()).size();
           if (!key.isEmpty() && count > 1) {
-            violations.add("the request of key " + key + " ran " + count + " times");
+            violations.add("the request with idempotency key " + key + " ran " + count + " times");
           }
         });
   }
 
-  private void checkLeaving(List<HistoryEvent> history) {
-    Map<String, Long> leavingSince = new HashMap<>();
+  private void checkDraining(List<HistoryEvent> history) {
+    Map<String, Long> drainingSince = new HashMap<>();
     for (HistoryEvent event : history) {
       if (event instanceof HistoryEvent.EngineLeaving leaving) {
-        leavingSince.put(leaving.engine() + leaving.incarnation(), leaving.atMicros());
+        drainingSince.put(leaving.engine() + leaving.incarnation(), leaving.atMicros());
       }
     }
     for (List<HistoryEvent.Run> sameRuns : runsByPrompt.values()) {
       for (HistoryEvent.Run run : sameRuns) {
-        Long since = leavingSince.get(run.engine() + run.incarnation());
-        if (since != null && run.atMicros() > since + LEAVING_BOUND_MICROS) {
+        Long since = drainingSince.get(run.engine() + run.incarnation());
+        if (since != null && run.atMicros() > since + MAX_DRAIN_NOTICE_MICROS) {
           violations.add(
-              "engine " + run.engine() + " got new work long after it was announced to leave");
+              "engine "
+                  + run.engine()
+                  + " received new work long after it was announced as draining");
         }
       }
     }
@@ -134,7 +141,7 @@
           violations.add(
               "node "
                   + inForce.node()
-                  + " went back from version "
+                  + " went back from configuration version "
                   + before
                   + " to "
                   + inForce.version());
@@ -155,13 +162,17 @@
     for (HistoryEvent event : history) {
       if (event instanceof HistoryEvent.ConfigurationInForce inForce
           && inForce.version() >= accepted.version()
-          && inForce.atMicros() <= accepted.atMicros() + IN_FORCE_BOUND_MICROS) {
+          && inForce.atMicros() <= accepted.atMicros() + MAX_ACTIVATION_MICROS) {
         late.remove(inForce.node());
       }
     }
     for (String node : late) {
       violations.add(
-          "version " + accepted.version() + " was not in force at node " + node + " in time");
+          "configuration version "
+              + accepted.version()
+              + " was not in force at node "
+              + node
+              + " in time");
     }
   }
 }
--- a/emulator/src/main/java/org/lockdale/emulator/history/HistoryEvent.java
+++ b/emulator/src/main/java/org/lockdale/emulator/history/HistoryEvent.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import org.lockdale.emulator.engine.RunRecord;
 
-/** Something that a caller, an engine or a node noted during a run. */
+/** An event that was recorded during a run, at a caller, an engine or a node. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "event")
 @JsonSubTypes({
   @JsonSubTypes.Type(value = HistoryEvent.Call.class, name = "call"),
@@ -16,34 +16,36 @@
 })
 public sealed interface HistoryEvent {
 
-  /** How a call ended for its caller. */
+  /** Outcome of a call for its caller. */
   enum CallEnd {
-    /** With a whole answer. */
+    /** The response was complete. */
     COMPLETE,
-    /** With the word that it did not run. */
+    /** An error reported that the request did not run, or nothing was sent. */
     NOT_RUN,
-    /** With an error that leaves open whether it ran. */
+    /** An error left open whether the request ran. */
     UNKNOWN,
-    /** With a stream that broke off openly. */
+    /** A stream ended without the end marker. */
     BROKEN
   }
 
   /**
-   * One call as its caller saw it.
+   * A call as its caller observed it.
    *
    * @param call number of the call
-   * @param requestId id the node gave it, or an empty string; attempts at engines begin with it
-   * @param tenant tenant
-   * @param service what the caller does
-   * @param promptDigest identifies the prompt
-   * @param expectedTokens length of the whole answer
-   * @param idempotencyKey key, or an empty string
-   * @param end how it ended
-   * @param errorCode code of the error, or an empty string
-   * @param answer text that arrived
-   * @param startedAtMicros when it was sent
-   * @param firstTokenMicros time to the first part of the answer, or -1
-   * @param endedAtMicros when it ended
+   * @param requestId id that the node assigned, or an empty string; ids of its attempts begin with
+   *     it
+   * @param tenant tenant name
+   * @param service kind of the request, such as {@code balance-check}
+   * @param promptDigest digest of the prompt
+   * @param expectedTokens length of the complete response in tokens
+   * @param idempotencyKey idempotency key, or an empty string
+   * @param end outcome
+   * @param errorCode error code, or an empty string
+   * @param answer text received
+   * @param startedAtMicros time at which it was sent, in microseconds of the recorder's clock
+   * @param firstTokenMicros microseconds from sending to the first part of the response, or -1 if
+   *     there was none
+   * @param endedAtMicros time at which it ended
    */
   record Call(
       long call,
@@ -62,16 +64,16 @@
       implements HistoryEvent {}
 
   /**
-   * An engine began to run an attempt.
+   * An engine started to run an attempt.
    *
    * @param engine engine id
    * @param incarnation its incarnation
    * @param attempt attempt id
-   * @param promptDigest identifies the prompt
-   * @param promptTokens length of the prompt
-   * @param cachedTokens part found in the cache
-   * @param heldElsewhereTokens part that another engine held
-   * @param atMicros when
+   * @param promptDigest digest of the prompt
+   * @param promptTokens length of the prompt in tokens
+   * @param cachedTokens prompt tokens found in the cache
+   * @param heldElsewhereTokens prompt tokens not found there although another engine held them
+   * @param atMicros time in microseconds of the recorder's clock
    */
   record Run(
       String engine,
@@ -84,7 +86,7 @@
       long atMicros)
       implements HistoryEvent {
 
-    /** Returns the event of an engine's own note. */
+    /** Returns the event for the record of an engine. */
     public static Run of(RunRecord run, long atMicros) {
       return new Run(
           run.engineId(),
@@ -98,15 +100,21 @@
     }
   }
 
-  /** An engine reused blocks of another tenant, model or weights version. */
+  /** An engine reused cached blocks of another tenant, model or weights version. */
   record ForeignReuse(String engine, long blocks) implements HistoryEvent {}
 
-  /** An engine was announced to leave; it holds for this incarnation, as a restart ends it. */
+  /** An engine was announced as draining; a restart, and so a new incarnation, ends it. */
   record EngineLeaving(String engine, String incarnation, long atMicros) implements HistoryEvent {}
 
   /** An edit of the configuration was accepted. */
   record ConfigurationAccepted(long version, long atMicros) implements HistoryEvent {}
 
-  /** A version came into force at a node; a node's life ends with its restart. */
+  /**
+   * A configuration version was in force at a node.
+   *
+   * @param node identifies one run of the node, as a restarted node may start at an older version
+   * @param version configuration version
+   * @param atMicros time in microseconds of the recorder's clock
+   */
   record ConfigurationInForce(String node, long version, long atMicros) implements HistoryEvent {}
 }
--- a/emulator/src/main/java/org/lockdale/emulator/history/HistoryFile.java
+++ b/emulator/src/main/java/org/lockdale/emulator/history/HistoryFile.java
@@ -8,14 +8,18 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Histories as files of one JSON object a line. */
+/** Reads and writes histories as files with one JSON object per line. */
 public final class HistoryFile {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private HistoryFile() {}
 
-  /** Reads a history. */
+  /**
+   * Reads a history.
+   *
+   * @throws IOException if the file cannot be read or is malformed
+   */
   public static List<HistoryEvent> read(Path file) throws IOException {
     try (MappingIterator<HistoryEvent> events =
         MAPPER.readerFor(HistoryEvent.class).readValues(Files.newInputStream(file))) {
@@ -23,7 +27,11 @@
     }
   }
 
-  /** Writes a history. */
+  /**
+   * Writes a history, replacing an existing file.
+   *
+   * @throws IOException if the file cannot be written
+   */
   public static void write(Path file, List<HistoryEvent> events) throws IOException {
     try (SequenceWriter writer =
         MAPPER
--- a/emulator/src/main/java/org/lockdale/emulator/history/HistoryRecorder.java
+++ b/emulator/src/main/java/org/lockdale/emulator/history/HistoryRecorder.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import org.lockdale.emulator.engine.RunRecord;
 
-/** Gathers the events of a run with the times of one clock. Safe for use by several threads. */
+/** Collects the events of a run, timed by one clock. Safe for use by several threads. */
 public final class HistoryRecorder {
 
   private final List<HistoryEvent> events = new ArrayList<>();
@@ -21,12 +21,12 @@
     events.add(event);
   }
 
-  /** Adds an engine's note of a run. */
+  /** Adds the record of an engine that started to run an attempt, with the present time. */
   public void add(RunRecord run) {
     add(HistoryEvent.Run.of(run, nowMicros()));
   }
 
-  /** Returns all events so far. */
+  /** Returns a copy of all events added so far. */
   public synchronized List<HistoryEvent> events() {
     return List.copyOf(events);
   }
--- a/emulator/src/main/java/org/lockdale/emulator/history/Verdict.java
+++ b/emulator/src/main/java/org/lockdale/emulator/history/Verdict.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What a checker found.
+ * Result of checking a history.
  *
- * @param calls calls judged
- * @param runs runs judged
- * @param violations broken promises, one sentence each
+ * @param calls calls checked
+ * @param runs runs checked
+ * @param violations violated guarantees, described in one sentence each
  */
 public record Verdict(int calls, int runs, List<String> violations) {
 
-  /** Returns whether no promise was broken. */
+  /** Returns whether no guarantee was violated. */
   public boolean holds() {
     return violations.isEmpty();
   }
--- a/emulator/src/main/java/org/lockdale/emulator/history/package-info.java
+++ b/emulator/src/main/java/org/lockdale/emulator/history/package-info.java
@@ -1,4 +1,4 @@
-/** Histories of concurrent runs and the checker that judges them. */
+/** Histories of concurrent runs, and a checker of the guarantees that they must satisfy. */
 @NullMarked
 package org.lockdale.emulator.history;
 
--- a/emulator/src/test/java/org/lockdale/emulator/history/HistoryCheckerTest.java
+++ b/emulator/src/test/java/org/lockdale/emulator/history/HistoryCheckerTest.java
@@ -13,12 +13,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** The checker refuses a history for each rule it knows, and passes one that breaks none. */
+/** The checker reports a violation of each rule, and none for a valid history. */
 public final class HistoryCheckerTest {
 
   private static final long PROMPT = 42;
   private static final int TOKENS = 4;
-  private static final String WHOLE = AnswerText.whole(PROMPT, TOKENS);
+  private static final String COMPLETE_TEXT = AnswerText.whole(PROMPT, TOKENS);
   private static final long SECOND = 1_000_000;
 
   private static HistoryEvent.Call call(CallEnd end, String key, String answer) {
@@ -30,21 +30,23 @@
     return new HistoryEvent.Run(engine, "life", attempt, PROMPT, 10, 0, 0, atMicros);
   }
 
-  /** Histories that must be refused, with a word of the reason. */
+  /** Histories that violate one rule each, with a part of the expected message. */
   @DataProvider
-  public Object[][] broken() {
+  public Object[][] invalidHistories() {
     HistoryEvent.Run run = run("e1", "request-1", 0);
     String other = AnswerText.whole(PROMPT + 1, TOKENS);
     return new Object[][] {
-      {List.of(call(CallEnd.COMPLETE, "k", WHOLE), run, run("e2", "x-1", 0)), "ran 2 times"},
+      {
+        List.of(call(CallEnd.COMPLETE, "k", COMPLETE_TEXT), run, run("e2", "x-1", 0)), "ran 2 times"
+      },
       {List.of(call(CallEnd.NOT_RUN, "", ""), run), "told 'not run'"},
-      {List.of(call(CallEnd.COMPLETE, "", WHOLE.substring(0, 6)), run), "cut short"},
-      {List.of(call(CallEnd.COMPLETE, "", other), run), "another one"},
-      {List.of(call(CallEnd.BROKEN, "", other), run), "part of another answer"},
+      {List.of(call(CallEnd.COMPLETE, "", COMPLETE_TEXT.substring(0, 6)), run), "cut short"},
+      {List.of(call(CallEnd.COMPLETE, "", other), run), "not the expected one"},
+      {List.of(call(CallEnd.BROKEN, "", other), run), "not a prefix of the expected one"},
       {List.of(new HistoryEvent.ForeignReuse("e1", 3)), "across tenant"},
       {
         List.of(new HistoryEvent.EngineLeaving("e1", "life", 0), run("e1", "a", 6 * SECOND)),
-        "announced to leave"
+        "announced as draining"
       },
       {
         List.of(
@@ -62,21 +64,21 @@
     };
   }
 
-  /** Each is refused for its reason. */
-  @Test(dataProvider = "broken")
+  /** Each invalid history gives exactly the expected violation. */
+  @Test(dataProvider = "invalidHistories")
   public void isRefused(List<HistoryEvent> history, String reason) {
     Verdict verdict = HistoryChecker.check(history);
     assertEquals(verdict.violations().size(), 1, verdict.violations().toString());
     assertTrue(verdict.violations().get(0).contains(reason), verdict.violations().toString());
   }
 
-  /** A good history passes, also after it was written to a file and read again. */
+  /** A valid history passes, also after it was written to a file and read back. */
   @Test
   public void aGoodHistoryPasses() throws IOException {
     List<HistoryEvent> history = new ArrayList<>();
     history.add(run("e1", "request-1", 0));
-    history.add(call(CallEnd.COMPLETE, "k", WHOLE));
-    history.add(call(CallEnd.BROKEN, "k", WHOLE.substring(0, 5)));
+    history.add(call(CallEnd.COMPLETE, "k", COMPLETE_TEXT));
+    history.add(call(CallEnd.BROKEN, "k", COMPLETE_TEXT.substring(0, 5)));
     history.add(new HistoryEvent.EngineLeaving("e1", "life", 0));
     history.add(new HistoryEvent.ConfigurationInForce("n1", 1, 0));
     history.add(new HistoryEvent.ConfigurationAccepted(1, 0));
