--- a/emulator/src/main/java/org/lockdale/emulator/platform/MachineEntry.java
+++ b/emulator/src/main/java/org/lockdale/emulator/platform/MachineEntry.java
@@ -3,11 +3,11 @@
 import java.util.Map;
 
 /**
- * A machine on the platform's list.
+ * A machine in the platform's machine list.
  *
  * @param id machine id
  * @param role {@code engine} or {@code node}
- * @param zone zone
+ * @param zone zone of the machine
  * @param host IP address
  * @param port port of the machine's main service
  * @param state {@code live} or {@code leaving}
--- a/emulator/src/main/java/org/lockdale/emulator/platform/MachineList.java
+++ b/emulator/src/main/java/org/lockdale/emulator/platform/MachineList.java
@@ -8,7 +8,10 @@
 import java.util.Map;
 import org.lockdale.coordination.time.Time;
 
-/** The list of live and leaving machines, which tells the past. Safe for use by several threads. */
+/**
+ * The list of live and leaving machines, with its earlier versions, so that a stale list can be
+ * served. Safe for use by several threads.
+ */
 public final class MachineList {
 
   private record Version(long atMillis, List<MachineEntry> entries) {}
@@ -28,23 +31,27 @@
   /** Adds or replaces a machine. */
   public synchronized void put(MachineEntry entry) {
     entries.put(entry.id(), entry);
-    record();
+    addVersion();
   }
 
   /** Removes a machine. */
   public synchronized void remove(String id) {
     entries.remove(id);
-    record();
+    addVersion();
   }
 
-  private void record() {
+  private void addVersion() {
     versions.addLast(new Version(time.monotonicMillis(), List.copyOf(entries.values())));
     if (versions.size() > MAX_VERSIONS) {
       versions.removeFirst();
     }
   }
 
-  /** Returns the list as it was some time ago. */
+  /**
+   * Returns the list as it was some time ago, or the oldest version kept.
+   *
+   * @param lagMillis age of the wanted list in milliseconds
+   */
   public synchronized Collection<MachineEntry> asOf(long lagMillis) {
     long wanted = time.monotonicMillis() - lagMillis;
     List<MachineEntry> found = versions.peekFirst().entries();
--- a/emulator/src/main/java/org/lockdale/emulator/platform/PlatformFaults.java
+++ b/emulator/src/main/java/org/lockdale/emulator/platform/PlatformFaults.java
@@ -1,13 +1,13 @@
 package org.lockdale.emulator.platform;
 
 /**
- * Faults of the stand-in platform, switched as a whole.
+ * Faults injected into the emulated platform, always set together.
  *
- * @param outage whether every call is refused
- * @param delayMillis time added to every call
- * @param lostReplyPerMille share of writes that take effect but whose reply is lost
- * @param requestsPerSecond rate limit, or 0 for none
- * @param machineListLagMillis age of the machine list that is served
+ * @param outage whether every request is rejected
+ * @param delayMillis delay of every request in milliseconds
+ * @param lostReplyPerMille writes per thousand that take effect but whose response is lost
+ * @param requestsPerSecond rate limit in requests a second, or 0 for none
+ * @param machineListLagMillis age in milliseconds of the machine list that is served
  */
 public record PlatformFaults(
     boolean outage,
@@ -16,6 +16,6 @@
     int requestsPerSecond,
     long machineListLagMillis) {
 
-  /** No faults, with the lag that a real machine list has. */
+  /** No faults; the machine list lags by one second, as a real one does. */
   public static final PlatformFaults NONE = new PlatformFaults(false, 0, 0, 0, 1_000);
 }
--- a/emulator/src/main/java/org/lockdale/emulator/platform/PlatformServer.java
+++ b/emulator/src/main/java/org/lockdale/emulator/platform/PlatformServer.java
@@ -23,7 +23,7 @@
 import org.lockdale.http.HttpServerSettings;
 
 /**
- * Stand-in for the platform over HTTP: rows under {@code /tables/TABLE/KEY} with entity tags and
+ * Emulates the platform over HTTP: rows under {@code /tables/TABLE/KEY} with entity tags and
  * conditional requests (RFC 9110, section 13), machines under {@code /machines}, faults under
  * {@code /faults}.
  */
@@ -46,11 +46,11 @@
   }
 
   /**
-   * Starts a platform.
+   * Starts an emulated platform.
    *
-   * @param address where to listen
+   * @param address address to listen on
    * @param group event loops
-   * @param seed decides which replies are lost
+   * @param seed seed of the choice of lost responses
    */
   public static PlatformServer start(InetSocketAddress address, EventLoopGroup group, long seed) {
     PlatformServer platform = new PlatformServer(seed);
@@ -58,12 +58,12 @@
     return platform;
   }
 
-  /** Returns the address that was bound. */
+  /** Returns the bound address. */
   public InetSocketAddress address() {
     return server.address();
   }
 
-  /** Returns the tables, for checks. */
+  /** Returns the tables, for inspection by tests. */
   public InMemoryTables tables() {
     return tables;
   }
@@ -73,7 +73,7 @@
     return machines;
   }
 
-  /** Switches faults. */
+  /** Replaces the injected faults. */
   public void setFaults(PlatformFaults newFaults) {
     faults = newFaults;
   }
@@ -109,7 +109,7 @@
     } else if (path.startsWith(MACHINES)) {
       serveMachines(exchange, path.substring(MACHINES.length()), current);
     } else {
-      exchange.reply(HttpReply.text(404, "The platform has no " + path + "."));
+      exchange.reply(HttpReply.text(404, "The path " + path + " does not exist."));
     }
   }
 
@@ -125,7 +125,7 @@
   private void serveTable(HttpExchange exchange, String rest, PlatformFaults current) {
     int slash = rest.indexOf('/');
     if (slash < 0) {
-      exchange.reply(HttpReply.text(404, "Name a table and a key."));
+      exchange.reply(HttpReply.text(404, "The path must name a table and a key."));
       return;
     }
     String table = rest.substring(0, slash);
--- a/emulator/src/main/java/org/lockdale/emulator/platform/RateLimiter.java
+++ b/emulator/src/main/java/org/lockdale/emulator/platform/RateLimiter.java
@@ -2,7 +2,7 @@
 
 import org.lockdale.coordination.time.Time;
 
-/** Counts calls in each second. Safe for use by several threads. */
+/** Limits requests in consecutive windows of one second. Safe for use by several threads. */
 final class RateLimiter {
 
   private static final long WINDOW_MILLIS = 1_000;
@@ -16,7 +16,11 @@
     this.windowStart = time.monotonicMillis();
   }
 
-  /** Returns whether one more call fits a limit; 0 means that there is none. */
+  /**
+   * Counts a request and returns whether it is within the limit.
+   *
+   * @param perSecond limit in requests a second, or 0 for none
+   */
   synchronized boolean tryAcquire(int perSecond) {
     if (perSecond <= 0) {
       return true;
--- a/emulator/src/main/java/org/lockdale/emulator/platform/package-info.java
+++ b/emulator/src/main/java/org/lockdale/emulator/platform/package-info.java
@@ -1,4 +1,4 @@
-/** Stand-ins for the platform: table service, machine list, switchable faults. */
+/** Emulated platform: table service, machine list and fault injection. */
 @NullMarked
 package org.lockdale.emulator.platform;
 
