--- a/emulator/src/main/java/org/lockdale/emulator/load/CallerExchange.java
+++ b/emulator/src/main/java/org/lockdale/emulator/load/CallerExchange.java
@@ -18,7 +18,7 @@
 import org.lockdale.http.ServerSentEventDecoder;
 import org.lockdale.openai.HeaderNames;
 
-/** One call of the load generator: reads the answer and notes how it ended. */
+/** A call of the load generator: reads the response and records its outcome in the history. */
 final class CallerExchange implements HttpResponseListener {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -47,10 +47,12 @@
     this.startedAtMicros = history.nowMicros();
   }
 
+  /** Returns a future that completes with the recorded call when the call has ended. */
   CompletableFuture<HistoryEvent.Call> done() {
     return done;
   }
 
+  /** Returns the digest of the prompt that a node builds from the messages of a request. */
   static long digestOf(PlannedRequest request) {
     PromptText prompt =
         new PromptText()
@@ -60,8 +62,8 @@
   }
 
   @Override
-  public void onHead(int replyStatus, HttpHeaders headers) {
-    status = replyStatus;
+  public void onHead(int responseStatus, HttpHeaders headers) {
+    status = responseStatus;
     requestId = headers.get(HeaderNames.REQUEST_ID, "");
     isStream = headers.get("content-type", "").startsWith("text/event-stream");
   }
--- a/emulator/src/main/java/org/lockdale/emulator/load/CanalHireWorkload.java
+++ b/emulator/src/main/java/org/lockdale/emulator/load/CanalHireWorkload.java
@@ -3,13 +3,13 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The booking platform's workload: questions of holidaymakers, contract drafts and booking charges
- * that run at most once. Prompts nest deeply: a firm's terms (2 kB), a lock schedule under them (8
- * kB), the house rules of one boat under that (16 kB).
+ * Workload of a boat booking platform: questions of holidaymakers, contract drafts, and booking
+ * charges that must run at most once. Prompts share nested prefixes: a tenant's terms (2 kB),
+ * followed by a lock schedule (8 kB), followed by the house rules of a boat (16 kB).
  */
 public final class CanalHireWorkload implements Workload {
 
-  /** Model of the example deployment. */
+  /** Name of the model in the example deployment. */
   public static final String MODEL = "canal-llm";
 
   private static final String[] TENANTS = {
@@ -31,9 +31,9 @@
   private static final double CHARGE_SHARE = 0.1;
   private static final double MODERATE_RATE = 24;
 
-  private final ZipfChoice tenants = new ZipfChoice(TENANTS.length, 0.9);
-  private final ZipfChoice schedules = new ZipfChoice(SCHEDULES, 0.8);
-  private final ZipfChoice boats = new ZipfChoice(BOATS, 1.0);
+  private final ZipfSampler tenants = new ZipfSampler(TENANTS.length, 0.9);
+  private final ZipfSampler schedules = new ZipfSampler(SCHEDULES, 0.8);
+  private final ZipfSampler boats = new ZipfSampler(BOATS, 1.0);
 
   @Override
   public String name() {
--- a/emulator/src/main/java/org/lockdale/emulator/load/GiftCardWorkload.java
+++ b/emulator/src/main/java/org/lockdale/emulator/load/GiftCardWorkload.java
@@ -3,13 +3,14 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The cooperative's workload: short counter checks that can't wait, redemptions that run at most
- * once, and dispute drafts that can wait. Prompts share a tenant's policy (about 2 kB) and, under
- * it, the rules of one kind of card (about 4 kB), of which a few are very hot.
+ * Workload of a gift card cooperative: short, urgent balance checks, redemptions that must run at
+ * most once, and dispute drafts that are not urgent. Prompts share nested prefixes: a tenant's
+ * policy (about 2 kB), followed by the rules of a kind of card (about 4 kB), a few of which are in
+ * most prompts.
  */
 public final class GiftCardWorkload implements Workload {
 
-  /** Model of the example deployment. */
+  /** Name of the model in the example deployment. */
   public static final String MODEL = "gift-llm";
 
   private static final String[] TENANTS = {
@@ -30,8 +31,8 @@
   private static final double REDEMPTION_SHARE = 0.1;
   private static final double MODERATE_RATE = 60;
 
-  private final ZipfChoice tenants = new ZipfChoice(TENANTS.length, 1.0);
-  private final ZipfChoice cards = new ZipfChoice(CARD_KINDS, 1.1);
+  private final ZipfSampler tenants = new ZipfSampler(TENANTS.length, 1.0);
+  private final ZipfSampler cards = new ZipfSampler(CARD_KINDS, 1.1);
 
   @Override
   public String name() {
--- a/emulator/src/main/java/org/lockdale/emulator/load/LoadGenerator.java
+++ b/emulator/src/main/java/org/lockdale/emulator/load/LoadGenerator.java
@@ -25,27 +25,27 @@
 import org.lockdale.openai.HeaderNames;
 
 /**
- * Sends a workload to nodes at a given rate, whether or not earlier requests have ended (open
- * loop), with exponential times between arrivals.
+ * Sends a workload to nodes in an open loop, that is at a given rate whether or not earlier
+ * requests have ended, with exponentially distributed times between requests.
  */
 public final class LoadGenerator {
 
   /**
-   * Longest time for the ends of all calls after the last one was sent: several times the longest
+   * Maximum time until all calls have ended after the last one was sent: several times the longest
    * deadline of the workloads.
    */
-  private static final long MAX_END_SECONDS = 120;
+  private static final long MAX_COMPLETION_WAIT_SECONDS = 120;
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
   private static final double NANOS_PER_SECOND = 1e9;
-  private static final long REPEAT_DELAY_MILLIS = 700;
+  private static final long RETRY_DELAY_MILLIS = 700;
   private static final int MAX_SENDS = 6;
 
   private final EventLoopGroup group;
   private final HttpClient client;
   private final HistoryRecorder history;
 
-  /** Creates a generator that notes its calls in a history. */
+  /** Creates a generator that records its calls in a history. */
   public LoadGenerator(EventLoopGroup group, HistoryRecorder history) {
     this.group = group;
     this.client = new HttpClient(group);
@@ -53,14 +53,15 @@
   }
 
   /**
-   * Sends requests for a time and waits for the ends of all.
+   * Sends requests for a time and waits until all have ended.
    *
    * @param workload source of requests
-   * @param nodes addresses, taken in turn
-   * @param requestsPerSecond mean rate
-   * @param seconds how long requests are sent
-   * @param seed decides all choices
+   * @param nodes addresses of the nodes, used in turn
+   * @param requestsPerSecond mean rate of requests
+   * @param seconds time during which requests are sent
+   * @param seed seed of all random choices
    * @return number of requests sent
+   * @throws IllegalStateException if calls do not end in time, or a call fails unexpectedly
    */
   public int run(
       Workload workload,
@@ -80,34 +81,39 @@
         TimeUnit.NANOSECONDS.sleep(waitNanos);
       }
       int number = calls.size();
-      calls.add(sendWithRepeats(workload.next(random, number), number, nodes, MAX_SENDS));
+      calls.add(sendWithRetries(workload.next(random, number), number, nodes, MAX_SENDS));
       dueNanos += -Math.log(1 - random.nextDouble()) / requestsPerSecond * NANOS_PER_SECOND;
     }
-    awaitEnds(calls);
+    awaitCompletion(calls);
     return calls.size();
   }
 
-  /** A call that never ends is told by its number instead of keeping its caller for ever. */
-  private static void awaitEnds(List<CompletableFuture<HistoryEvent.Call>> calls)
+  /**
+   * Waits until all calls have ended; on timeout, throws an exception that lists the open calls.
+   */
+  private static void awaitCompletion(List<CompletableFuture<HistoryEvent.Call>> calls)
       throws InterruptedException {
     try {
       CompletableFuture.allOf(calls.toArray(CompletableFuture[]::new))
-          .get(MAX_END_SECONDS, TimeUnit.SECONDS);
-    } catch (TimeoutException endless) {
+          .get(MAX_COMPLETION_WAIT_SECONDS, TimeUnit.SECONDS);
+    } catch (TimeoutException timeout) {
       List<Integer> open =
           IntStream.range(0, calls.size())
               .filter(number -> !calls.get(number).isDone())
               .boxed()
               .toList();
       throw new IllegalStateException(
-          "these calls have not ended " + MAX_END_SECONDS + " s after the last was sent: " + open,
-          endless);
+          "calls that have not ended "
+              + MAX_COMPLETION_WAIT_SECONDS
+              + " s after the last was sent: "
+              + open,
+          timeout);
     } catch (ExecutionException failure) {
-      throw new IllegalStateException("a call could not be made: " + failure, failure.getCause());
+      throw new IllegalStateException("a call failed unexpectedly: " + failure, failure.getCause());
     }
   }
 
-  /** Sends one request. */
+  /** Sends a request once; the future completes when the call has ended. */
   public CompletableFuture<HistoryEvent.Call> send(
       PlannedRequest request, long number, InetSocketAddress node) {
     CallerExchange exchange = new CallerExchange(request, number, history);
@@ -116,31 +122,31 @@
   }
 
   /**
-   * Sends one request and, as a careful client would, sends it again with the same key while it has
-   * no answer.
+   * Sends a request and retries it with the same idempotency key until its response is complete. A
+   * request without a key is sent once.
    *
-   * @param most most times to send it
+   * @param maxSends maximum number of times to send it
    */
-  public CompletableFuture<HistoryEvent.Call> sendWithRepeats(
-      PlannedRequest request, long number, List<InetSocketAddress> nodes, int most) {
-    InetSocketAddress node = nodes.get((int) ((number + most) % nodes.size()));
+  public CompletableFuture<HistoryEvent.Call> sendWithRetries(
+      PlannedRequest request, long number, List<InetSocketAddress> nodes, int maxSends) {
+    InetSocketAddress node = nodes.get((int) ((number + maxSends) % nodes.size()));
     return send(request, number, node)
         .thenCompose(
             call -> {
-              boolean answered = call.end() == HistoryEvent.CallEnd.COMPLETE;
-              if (answered || most <= 1 || request.idempotencyKey() == null) {
+              boolean complete = call.end() == HistoryEvent.CallEnd.COMPLETE;
+              if (complete || maxSends <= 1 || request.idempotencyKey() == null) {
                 return CompletableFuture.completedFuture(call);
               }
-              CompletableFuture<HistoryEvent.Call> repeated = new CompletableFuture<>();
+              CompletableFuture<HistoryEvent.Call> retried = new CompletableFuture<>();
               group
                   .next()
                   .schedule(
                       () ->
-                          sendWithRepeats(request, number, nodes, most - 1)
-                              .thenAccept(repeated::complete),
-                      REPEAT_DELAY_MILLIS,
+                          sendWithRetries(request, number, nodes, maxSends - 1)
+                              .thenAccept(retried::complete),
+                      RETRY_DELAY_MILLIS,
                       TimeUnit.MILLISECONDS);
-              return repeated;
+              return retried;
             });
   }
 
--- a/emulator/src/main/java/org/lockdale/emulator/load/LoadReport.java
+++ b/emulator/src/main/java/org/lockdale/emulator/load/LoadReport.java
@@ -11,14 +11,14 @@
 import org.lockdale.emulator.history.Verdict;
 
 /**
- * Figures of a run, from the callers' and the engines' notes.
+ * Statistics of a run, computed from the history of callers and engines.
  *
  * @param requests requests sent
- * @param ends number of calls by how they ended
+ * @param ends number of calls by outcome
  * @param errors number of calls by error code
- * @param firstTokens times to first token by group, such as the priority
- * @param prefixHitRate prompt tokens found in caches over all prompt tokens
- * @param wastedShare prefilled tokens that another engine held over all prefilled tokens
+ * @param firstTokens times to first token by group of services, such as a priority
+ * @param prefixHitRate ratio of prompt tokens found in caches to all prompt tokens
+ * @param wastedShare ratio of computed prompt tokens that another engine held to all computed ones
  * @param verdict of the history check
  */
 public record LoadReport(
@@ -36,7 +36,10 @@
   /**
    * Times to first token in milliseconds.
    *
-   * @param count calls that got one
+   * @param count calls that received a token
+   * @param p50 median
+   * @param p95 95th percentile
+   * @param p99 99th percentile
    */
   public record Latency(long count, double p50, double p95, double p99) {
 
@@ -52,7 +55,7 @@
   /**
    * Returns the report of a history.
    *
-   * @param groupOf group of a service in the times to first token
+   * @param groupOf returns the group of a service in the times to first token
    */
   public static LoadReport of(List<HistoryEvent> history, UnaryOperator<String> groupOf) {
     List<HistoryEvent.Call> calls = new ArrayList<>();
@@ -73,13 +76,13 @@
         countEnds(calls),
         countErrors(calls),
         latencies(calls, groupOf),
-        share(cachedTokens, promptTokens),
-        share(wastedTokens, promptTokens - cachedTokens),
+        ratio(cachedTokens, promptTokens),
+        ratio(wastedTokens, promptTokens - cachedTokens),
         HistoryChecker.check(history));
   }
 
-  private static double share(long part, long whole) {
-    return whole == 0 ? 0 : (double) part / whole;
+  private static double ratio(long part, long total) {
+    return total == 0 ? 0 : (double) part / total;
   }
 
   private static Map<String, Integer> countEnds(List<HistoryEvent.Call> calls) {
@@ -98,7 +101,10 @@
     return errors;
   }
 
-  /** Requests with a key are not streamed: their first token comes with the whole answer. */
+  /**
+   * Returns the group of a call. Requests with a key are grouped apart, as they are not streamed:
+   * their first token arrives with the complete response.
+   */
   private static String groupOf(HistoryEvent.Call call, UnaryOperator<String> groupOfService) {
     String group = groupOfService.apply(call.service());
     return call.idempotencyKey().isEmpty() ? group : group + " (whole)";
--- a/emulator/src/main/java/org/lockdale/emulator/load/PlannedRequest.java
+++ b/emulator/src/main/java/org/lockdale/emulator/load/PlannedRequest.java
@@ -4,17 +4,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A request that a workload wants sent.
+ * A request that a workload generates.
  *
  * @param tenant tenant name
- * @param apiKey the tenant's key
+ * @param apiKey API key of the tenant
  * @param model model name
- * @param service what the caller does, also a label of the request
- * @param metadata further labels
+ * @param service kind of the request, also a label of it
+ * @param metadata labels of the request
  * @param systemPrompt shared part of the prompt
- * @param userPrompt part of its own
- * @param maxTokens length of the answer
- * @param stream whether the answer is streamed
+ * @param userPrompt part that is unique to the request
+ * @param maxTokens length of the response in tokens
+ * @param stream whether the response is streamed
  * @param idempotencyKey key of a request that must run at most once, or null
  */
 public record PlannedRequest(
@@ -30,8 +30,8 @@
     @Nullable String idempotencyKey) {
 
   /**
-   * Returns a request of a workload: labelled with its service, streamed unless it must run at most
-   * once.
+   * Returns a request that is labelled with its service, and streamed unless it has an idempotency
+   * key.
    */
   static PlannedRequest of(
       String tenant,
--- a/emulator/src/main/java/org/lockdale/emulator/load/SyntheticText.java
+++ b/emulator/src/main/java/org/lockdale/emulator/load/SyntheticText.java
@@ -4,7 +4,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.lockdale.coordination.placement.Rendezvous;
 
-/** Text that is the same for the same name and differs for others. */
+/** Generates text that is determined by a name. */
 final class SyntheticText {
 
   private static final String[] WORDS = {
@@ -14,7 +14,7 @@
 
   private SyntheticText() {}
 
-  /** Returns text of about a number of bytes for a name. */
+  /** Returns the text for a name, of the given number of bytes or slightly more. */
   static String of(String name, int bytes) {
     UniformRandomProvider random =
         RandomSource.XO_RO_SHI_RO_128_PP.create(Rendezvous.identityOf(name));
--- a/emulator/src/main/java/org/lockdale/emulator/load/ZipfChoice.java
+++ b/emulator/src/main/java/org/lockdale/emulator/load/ZipfSampler.java
@@ -2,12 +2,18 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Chooses an index with a probability that falls as a power of its rank. */
-final class ZipfChoice {
+/** Samples indexes from a Zipf distribution: the probability of a rank falls as a power of it. */
+final class ZipfSampler {
 
   private final double[] cumulative;
 
-  ZipfChoice(int size, double exponent) {
+  /**
+   * Creates a sampler.
+   *
+   * @param size number of indexes
+   * @param exponent exponent of the distribution
+   */
+  ZipfSampler(int size, double exponent) {
     cumulative = new double[size];
     double sum = 0;
     for (int rank = 0; rank < size; rank++) {
@@ -19,6 +25,7 @@
     }
   }
 
+  /** Returns an index from 0 (most frequent) to {@code size - 1}. */
   int next(UniformRandomProvider random) {
     double value = random.nextDouble();
     int rank = 0;
--- a/emulator/src/main/java/org/lockdale/emulator/load/package-info.java
+++ b/emulator/src/main/java/org/lockdale/emulator/load/package-info.java
@@ -1,4 +1,4 @@
-/** Load generator and the workloads of both users. */
+/** Load generator and the workloads of two kinds of deployments. */
 @NullMarked
 package org.lockdale.emulator.load;
 
