--- a/specification/src/main/resources/org/lockdale/specification/configuration.als
+++ b/specification/src/main/resources/org/lockdale/specification/configuration.als
@@ -1,7 +1,7 @@
 /*
- * Versioned configuration: ConfigurationHistory and ConfigurationReplica. Operators race; replies are
- * lost; zones are cut, so replicas learn from others late, twice or in any order; replicas restart
- * empty.
+ * Versioned configuration, as implemented by ConfigurationHistory and ConfigurationReplica. Operators
+ * edit concurrently, and responses are lost. Network partitions delay updates to replicas, which may
+ * arrive more than once and in any order. Replicas restart empty.
  */
 module configuration
 
@@ -14,7 +14,7 @@
 one sig CreateNextRow, OnlyNewer extends Guard {}
 one sig Guards { on : set Guard }
 
-// The table: one row a version; the first version is there from the beginning.
+// The table has one row per version; the first version exists initially.
 one sig Table { var row : Version -> Edit }
 sig Replica { var inForce : lone Version }
 
@@ -22,7 +22,7 @@
 
 fun newest : lone Version { max[Table.row.Edit] }
 
-// ConfigurationHistory.propose: creating the row after the base accepts the edit
+// ConfigurationHistory.propose: an edit is accepted by creating the row that follows its base version
 pred propose [base : Version, e : Edit] {
   some base.next and base in Table.row.Edit
   CreateNextRow in Guards.on implies no Table.row[base.next]
@@ -30,7 +30,7 @@
   inForce' = inForce
 }
 
-// ConfigurationReplica.apply: a transfer read from the table or from a peer, perhaps an old one
+// ConfigurationReplica.apply: a version received from the table or from a peer, possibly an outdated one
 pred apply [r : Replica, v : Version] {
   v in Table.row.Edit
   OnlyNewer in Guards.on implies (no r.inForce or v in r.inForce.nexts)
@@ -49,9 +49,9 @@
 }
 
 pred allGuards { Guards.on = Guard }
-// An accepted edit stays what it is.
+// The row of an accepted edit never changes.
 pred acceptedIsKept { always all v : Version | some Table.row[v] implies Table.row'[v] = Table.row[v] }
-// A replica goes back only by a restart, which it begins with nothing.
+// The version in force at a replica never decreases, except that a restart resets it to none.
 pred neverReverts { always all r : Replica | (some r.inForce and some r.inForce') implies r.inForce' in r.inForce.*next }
 
 check acceptedEditsAreKept { allGuards implies acceptedIsKept } for 4 but 1..10 steps
--- a/specification/src/main/resources/org/lockdale/specification/lease.als
+++ b/specification/src/main/resources/org/lockdale/specification/lease.als
@@ -1,7 +1,8 @@
 /*
- * A lease on a row of the shared store: Lease and RolloutController. Nodes read the row, and write it
- * later if it still has the version they read; answers may be learned late or never; a node may pause
- * at any moment. A lease lasts one tick of the store's clock and the guard is one more.
+ * A lease on a row of the shared store, as implemented by Lease and RolloutController. Nodes read the
+ * row and later write it on condition that its version has not changed since. Responses may be received
+ * late or never, and a node may pause at any time. A lease lasts one tick of the store's clock, and the
+ * guard time is one more tick.
  */
 module lease
 
@@ -19,14 +20,14 @@
 one sig Row { var version : Version, var holder : lone Node, var endsAt : lone Tick }
 
 sig Node {
-  // the last reading of the row, and the store's clock at that moment
+  // the last values read from the row, and the store's clock at that time
   var readVersion : lone Version,
   var readAt : lone Tick,
   var readHolder : lone Node,
   var readEnd : lone Tick,
-  // end of the lease that this node has written itself
+  // end of the lease that this node wrote and whose success it learned of
   var heldEnd : lone Tick,
-  // times at which it acted under the lease
+  // ticks at which it acted under the lease
   var acted : set Tick
 }
 
@@ -46,7 +47,7 @@
   readingsSame and rowSame and heldEnd' = heldEnd and acted' = acted
 }
 
-// Lease.observed
+// Lease.observed: the node reads the row
 pred observe [n : Node] {
   readVersion' = readVersion ++ n -> Row.version
   readAt' = readAt ++ n -> Clock.now
@@ -55,7 +56,7 @@
   rowSame and now' = now and heldEnd' = heldEnd and acted' = acted
 }
 
-// Lease.claim and the store's conditional write; the node may learn of it at once or not at all
+// Lease.claim and the store's conditional write; the node learns of its success at once or never
 pred claim [n : Node] {
   some n.readAt and some n.readAt.(time/next) and some Row.version.(versions/next)
   ConditionalWrite in Guards.on implies n.readVersion = Row.version
@@ -73,7 +74,7 @@
     else n.readAt in n.readEnd + n.readEnd.(time/nexts)
 }
 
-// Lease.mayAct
+// Lease.mayAct: the node acts under its lease, with StopBeforeEnd only before the end of it
 pred act [n : Node] {
   some n.heldEnd
   StopBeforeEnd in Guards.on implies n.heldEnd in Clock.now.(time/nexts)
@@ -92,7 +93,7 @@
 
 pred allGuards { Guards.on = Guard }
 
-// Two nodes never act at the same tick or at neighbouring ones.
+// Two nodes never act at the same tick or at adjacent ticks.
 pred holdersKeepApart {
   always all disj a, b : Node | no (a.acted & (b.acted + b.acted.(time/next) + b.acted.(time/prev)))
 }
--- a/specification/src/main/resources/org/lockdale/specification/run-once.als
+++ b/specification/src/main/resources/org/lockdale/specification/run-once.als
@@ -1,9 +1,10 @@
 /*
- * Run-once claims on one idempotency key: RunOnceClaims, ClaimStep and the engine's tombstones.
+ * Run-once claims on one idempotency key, as implemented by RunOnceClaims, ClaimStep and the tombstones
+ * of the engine.
  *
- * A table row is created by a conditional write whose reply may be lost and which may take effect late.
- * Each action is named after the method that implements it. A guard that is not in Guards is removed;
- * the tests check that each removal gives a counterexample.
+ * A table row is created by a conditional write whose response may be lost and which may take effect
+ * late. Each action is named after the method that implements it. Guards.on holds the guards that are
+ * enforced; the tests check that removing any one of them gives a counterexample.
  */
 module runOnce
 
@@ -17,7 +18,7 @@
 one sig Claimed, NotRun, Complete extends State {}
 
 one sig Engine { var incarnation : one Life }
-sig Life {}
+sig Life {}                       // an incarnation of the engine
 
 sig Attempt {
   node : one Node,
@@ -27,16 +28,16 @@
 
 one sig Row { var holder : lone Attempt, var state : lone State }
 
-var sig Past in Life {}           // lives of the engine that are over
+var sig Past in Life {}           // earlier incarnations of the engine
 
-var sig Writing in Attempt {}     // create sent, its effect still to come
-var sig Granted in Attempt {}     // the node knows that it holds the claim
-var sig GaveUp in Attempt {}      // the node told its caller "not run"
-var sig InTransit in Attempt {}   // dispatched, not yet arrived at the engine
-var sig Sent in Attempt {}        // dispatched at any time
-var sig Ran in Attempt {}         // the engine's own ledger, never forgotten
-var sig Known in Attempt {}       // what the present life of the engine remembers
-var sig Tombstoned in Attempt {}  // refused by the present life should it arrive
+var sig Writing in Attempt {}     // conditional create sent, not yet in effect
+var sig Granted in Attempt {}     // the node learned that it holds the claim
+var sig GaveUp in Attempt {}      // the node reported "not run" to its caller
+var sig InTransit in Attempt {}   // dispatched, not yet received by the engine
+var sig Sent in Attempt {}        // dispatched at some time
+var sig Ran in Attempt {}         // attempts that ran in any incarnation
+var sig Known in Attempt {}       // attempts that the present incarnation has a record of
+var sig Tombstoned in Attempt {}  // rejected by the present incarnation if received
 
 fun others : set Attempt { Attempt - (Writing + Granted + GaveUp + Sent) }
 
@@ -61,7 +62,7 @@
   Sent' = Sent
 }
 
-// TableService.create takes effect, perhaps long after the node stopped waiting
+// TableService.create takes effect, possibly long after the node stopped waiting
 pred create [a : Attempt] {
   a in Writing
   ConditionalCreate in Guards.on implies (no holder or Row.state = NotRun)
@@ -72,7 +73,7 @@
   Sent' = Sent
 }
 
-// TableService.create refuses
+// TableService.create fails, as its condition does not hold
 pred conditionFailed [a : Attempt] {
   a in Writing and some holder and Row.holder != a and Row.state != NotRun
   Writing' = Writing - a and GaveUp' = GaveUp + a
@@ -81,7 +82,7 @@
   Sent' = Sent
 }
 
-// RunOnceClaims.decideByRow: the reply, or the row read back, names the attempt
+// RunOnceClaims.decideByRow: the response, or the row when read back, names the attempt as holder
 pred decideByRow [a : Attempt] {
   a not in GaveUp + Granted
   ClaimBeforeDispatch in Guards.on
@@ -93,7 +94,7 @@
   Sent' = Sent
 }
 
-// ClaimFinisher.abandon: the node stops waiting; the row is ended later
+// ClaimFinisher.abandon: the node stops waiting; RunOnceClaims.abandon ends the row later
 pred giveUp [a : Attempt] {
   a in Writing and a not in Granted
   GaveUp' = GaveUp + a
@@ -110,7 +111,8 @@
   rowSame and engineSame
 }
 
-// EngineModel.submit: arrives at the engine, which may have been told to refuse it
+// EngineModel.submit: the engine receives the attempt; rejects it if it has a tombstone for it or is
+// not the incarnation that the sender expected
 pred submit [a : Attempt] {
   a in InTransit
   InTransit' = InTransit - a
@@ -121,7 +123,7 @@
   nodesSame and rowSame
 }
 
-// RunOnceClaims.abandon: ends the row of an attempt that was given up and never dispatched
+// RunOnceClaims.abandon: ends the row of an attempt that was given up and never dispatched, as not run
 pred abandon [a : Attempt] {
   a in GaveUp - Sent
   no holder or (Row.holder = a and Row.state = Claimed)
@@ -129,7 +131,7 @@
   InTransit' = InTransit and nodesSame and engineSame
 }
 
-// RunOnceClaims.release by the holder, whose engine refused the attempt for good
+// RunOnceClaims.release: the holder ends its row as not run, after the engine definitely rejected it
 pred release [a : Attempt] {
   Row.holder = a and Row.state = Claimed and a in Granted
   ReleaseOnlyNotStarted in Guards.on implies (a not in InTransit + Ran)
@@ -140,7 +142,8 @@
   Sent' = Sent
 }
 
-// ClaimStep.resolveHolder by another node: the engine of the same life confirms "never started"
+// ClaimStep.resolveHolder: another node ends the row as not run, after the engine, in the same
+// incarnation, confirmed that the attempt never started
 pred resolveHolder [a : Attempt] {
   Row.holder = a and Row.state = Claimed
   a not in Known
@@ -153,14 +156,14 @@
   InTransit' = InTransit and nodesSame
 }
 
-// RunOnceClaims.complete
+// RunOnceClaims.complete: the row of an attempt that ran is marked complete
 pred complete [a : Attempt] {
   Row.holder = a and Row.state = Claimed and a in Ran
   Row.state' = Complete and holder' = holder
   InTransit' = InTransit and nodesSame and engineSame
 }
 
-// EngineServer.crash: comes back empty, with a life it never had
+// EngineServer.crash: the engine restarts empty, with a new incarnation
 pred crash {
   Engine.incarnation' not in Past + Engine.incarnation
   Past' = Past + Engine.incarnation
@@ -181,9 +184,9 @@
 
 pred allGuards { Guards.on = Guard }
 
-// A request that may not be repeated runs at most once.
+// A request that must not be repeated runs at most once.
 pred atMostOnce { always lone Ran }
-// When a caller is told "not run", it truly did not run and never will.
+// An attempt reported to its caller as "not run" did not run and never will.
 pred notRunIsTrue { always no (GaveUp & Ran) }
 
 check runsAtMostOnce { allGuards implies atMostOnce } for 3 but 1..14 steps
--- a/specification/src/test/java/org/lockdale/specification/SpecificationTest.java
+++ b/specification/src/test/java/org/lockdale/specification/SpecificationTest.java
@@ -16,16 +16,16 @@
 import org.testng.annotations.Test;
 
 /**
- * Checks every command of the specifications. A check must hold, a run must find an instance, and a
- * check whose name begins with "without" removes a guard and must find a counterexample: a check
- * that can't fail proves nothing.
+ * Executes every command of the specifications. A {@code check} must hold and a {@code run} must
+ * find an instance. A {@code check} whose name begins with "without" removes a guard and must find
+ * a counterexample, which shows that the guard is needed and that the property can fail.
  */
 public final class SpecificationTest {
 
   private static final Path DIRECTORY = Path.of("src/main/resources/org/lockdale/specification");
-  private static final String GUARD_REMOVED = "without";
+  private static final String GUARD_REMOVED_PREFIX = "without";
 
-  /** All commands of all specifications. */
+  /** Returns the file and label of each command of all specifications. */
   @DataProvider
   public Object[][] commands() {
     List<Object[]> commands = new ArrayList<>();
@@ -43,7 +43,7 @@
         A4Reporter.NOP, null, DIRECTORY.resolve(file).toString());
   }
 
-  /** Each command gives the verdict that its name asks for. */
+  /** Each command finds an instance or a counterexample exactly when one is expected. */
   @Test(dataProvider = "commands")
   public void verdict(String file, String label) {
     CompModule module = parse(file);
@@ -56,7 +56,7 @@
     A4Solution solution =
         TranslateAlloyToKodkod.execute_command(
             A4Reporter.NOP, module.getAllReachableSigs(), command, options);
-    boolean instanceWanted = !command.check || label.startsWith(GUARD_REMOVED);
-    assertEquals(solution.satisfiable(), instanceWanted, file + " " + command);
+    boolean solutionExpected = !command.check || label.startsWith(GUARD_REMOVED_PREFIX);
+    assertEquals(solution.satisfiable(), solutionExpected, file + " " + command);
   }
 }
