--- a/emulator/src/main/java/org/lockdale/emulator/history/HistoryChecker.java
+++ b/emulator/src/main/java/org/lockdale/emulator/history/HistoryChecker.java
@@ -87,7 +87,7 @@
           List<HistoryEvent.Run> sameRuns = runsByPrompt.getOrDefault(prompt, List.of());
           for (HistoryEvent.Call call : sameCalls) {
             if (call.end() == HistoryEvent.CallEnd.NOT_RUN && ranFor(call, sameRuns)) {
-              violations.add("call " + call.call() + " was told 'not run', but it ran");
+              violations.add("call " + call.call() + " ended as 'not run', but it ran");
             }
           }
         });
--- a/emulator/src/main/java/org/lockdale/emulator/load/CallerExchange.java
+++ b/emulator/src/main/java/org/lockdale/emulator/load/CallerExchange.java
@@ -30,7 +30,7 @@
   private final long startedAtMicros;
   private final CompletableFuture<HistoryEvent.Call> done = new CompletableFuture<>();
   private final ServerSentEventDecoder decoder = new ServerSentEventDecoder(this::onEvent);
-  private final StringBuilder answer = new StringBuilder();
+  private final StringBuilder responseText = new StringBuilder();
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private int status;
   private boolean isStream;
@@ -91,7 +91,7 @@
     if (data.has("error")) {
       readError(data);
     } else {
-      answer.append(data.path("choices").path(0).path("delta").path("content").asText(""));
+      responseText.append(data.path("choices").path(0).path("delta").path("content").asText(""));
     }
   }
 
@@ -116,7 +116,7 @@
     }
     JsonNode data = parse(body.toByteArray());
     if (status == OK) {
-      answer.append(data.path("choices").path(0).path("message").path("content").asText(""));
+      responseText.append(data.path("choices").path(0).path("message").path("content").asText(""));
       finish(CallEnd.COMPLETE);
       return;
     }
@@ -150,7 +150,7 @@
             request.idempotencyKey() == null ? "" : request.idempotencyKey(),
             end,
             errorCode,
-            answer.toString(),
+            responseText.toString(),
             startedAtMicros,
             firstTokenMicros,
             history.nowMicros());
--- a/emulator/src/main/java/org/lockdale/emulator/load/GiftCardWorkload.java
+++ b/emulator/src/main/java/org/lockdale/emulator/load/GiftCardWorkload.java
@@ -5,8 +5,8 @@
 /**
  * Workload of a gift card cooperative: short, urgent balance checks, redemptions that must run at
  * most once, and dispute drafts that are not urgent. Prompts share nested prefixes: a tenant's
- * policy (about 2 kB), followed by the rules of a kind of card (about 4 kB), a few of which are in
- * most prompts.
+ * policy (about 2 kB), followed by the rules of a kind of card (about 4 kB), a few of which occur
+ * far more often than the others.
  */
 public final class GiftCardWorkload implements Workload {
 
--- a/emulator/src/test/java/org/lockdale/emulator/engine/EngineModelTest.java
+++ b/emulator/src/test/java/org/lockdale/emulator/engine/EngineModelTest.java
@@ -49,7 +49,7 @@
     engine =
         new EngineModel(
             settings,
-            "life-1",
+            "incarnation-1",
             RandomSource.XO_RO_SHI_RO_128_PP.create(1),
             () -> nowMicros,
             ran::add,
@@ -60,7 +60,8 @@
     byte[] prompt = new byte[blocks * PrefixChain.BLOCK_BYTES];
     PrefixChain chain = PrefixChain.of(new CacheScope("t", "", "", ""), prompt);
     int tokens = Math.max(1, blocks * TOKENS_PER_BLOCK);
-    return new EngineRequest(attempt, "life-1", "m", "v1", "t|m|v1", chain, 7, tokens, 3, priority);
+    return new EngineRequest(
+        attempt, "incarnation-1", "m", "v1", "t|m|v1", chain, 7, tokens, 3, priority);
   }
 
   private EngineOutput recordingOutput(String attempt) {
@@ -121,12 +122,12 @@
    * queue are rejected and do not run.
    */
   @Test
-  public void refusalsRunNothing() {
+  public void rejectedRequestsDoNotRun() {
     EngineRequest valid = request("a", 1, 1);
     EngineRequest otherIncarnation =
-        new EngineRequest("b", "life-0", "m", "v1", "o", valid.chain(), 7, 1, 1, 1);
+        new EngineRequest("b", "incarnation-0", "m", "v1", "o", valid.chain(), 7, 1, 1, 1);
     EngineRequest otherWeights =
-        new EngineRequest("c", "life-1", "m", "v0", "o", valid.chain(), 7, 1, 1, 1);
+        new EngineRequest("c", "incarnation-1", "m", "v0", "o", valid.chain(), 7, 1, 1, 1);
     assertEquals(
         engine.submit(otherIncarnation, recordingOutput("b")), SubmitResult.INCARNATION_MISMATCH);
     assertEquals(engine.submit(otherWeights, recordingOutput("c")), SubmitResult.WEIGHTS_MISMATCH);
@@ -205,7 +206,7 @@
     assertTrue(engine.execute(new EngineOrder(8, EngineOrder.Action.LEAVE, "", "")));
     EngineRequest request = request("a", 1, 1);
     EngineRequest current =
-        new EngineRequest("a", "life-1", "m", "v2", "o", request.chain(), 7, 1, 1, 1);
+        new EngineRequest("a", "incarnation-1", "m", "v2", "o", request.chain(), 7, 1, 1, 1);
     assertEquals(engine.submit(current, recordingOutput("a")), SubmitResult.LEAVING);
   }
 
--- a/emulator/src/test/java/org/lockdale/emulator/history/HistoryCheckerTest.java
+++ b/emulator/src/test/java/org/lockdale/emulator/history/HistoryCheckerTest.java
@@ -27,7 +27,7 @@
   }
 
   private static HistoryEvent.Run run(String engine, String attempt, long atMicros) {
-    return new HistoryEvent.Run(engine, "life", attempt, PROMPT, 10, 0, 0, atMicros);
+    return new HistoryEvent.Run(engine, "incarnation", attempt, PROMPT, 10, 0, 0, atMicros);
   }
 
   /** Histories that violate one rule each, with a part of the expected message. */
@@ -39,13 +39,13 @@
       {
         List.of(call(CallEnd.COMPLETE, "k", COMPLETE_TEXT), run, run("e2", "x-1", 0)), "ran 2 times"
       },
-      {List.of(call(CallEnd.NOT_RUN, "", ""), run), "told 'not run'"},
+      {List.of(call(CallEnd.NOT_RUN, "", ""), run), "ended as 'not run'"},
       {List.of(call(CallEnd.COMPLETE, "", COMPLETE_TEXT.substring(0, 6)), run), "cut short"},
       {List.of(call(CallEnd.COMPLETE, "", other), run), "not the expected one"},
       {List.of(call(CallEnd.BROKEN, "", other), run), "not a prefix of the expected one"},
       {List.of(new HistoryEvent.ForeignReuse("e1", 3)), "across tenant"},
       {
-        List.of(new HistoryEvent.EngineLeaving("e1", "life", 0), run("e1", "a", 6 * SECOND)),
+        List.of(new HistoryEvent.EngineLeaving("e1", "incarnation", 0), run("e1", "a", 6 * SECOND)),
         "announced as draining"
       },
       {
@@ -79,7 +79,7 @@
     history.add(run("e1", "request-1", 0));
     history.add(call(CallEnd.COMPLETE, "k", COMPLETE_TEXT));
     history.add(call(CallEnd.BROKEN, "k", COMPLETE_TEXT.substring(0, 5)));
-    history.add(new HistoryEvent.EngineLeaving("e1", "life", 0));
+    history.add(new HistoryEvent.EngineLeaving("e1", "incarnation", 0));
     history.add(new HistoryEvent.ConfigurationInForce("n1", 1, 0));
     history.add(new HistoryEvent.ConfigurationAccepted(1, 0));
     Path file = Files.createTempFile("history", ".jsonl");
