--- a/emulator/src/main/java/org/lockdale/emulator/load/CallerExchange.java
+++ b/emulator/src/main/java/org/lockdale/emulator/load/CallerExchange.java
@@ -18,7 +18,7 @@
 import org.lockdale.http.ServerSentEventDecoder;
 import org.lockdale.openai.HeaderNames;
 
-/** One call of the load generator: reads the answer and notes how it ended. */
+/** A call of the load generator: reads the response and records its outcome in the history. */
 final class CallerExchange implements HttpResponseListener {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -30,7 +30,7 @@
   private final long startedAtMicros;
   private final CompletableFuture<HistoryEvent.Call> done = new CompletableFuture<>();
   private final ServerSentEventDecoder decoder = new ServerSentEventDecoder(this::onEvent);
-  private final StringBuilder answer = new StringBuilder();
+  private final StringBuilder responseText = new StringBuilder();
   private final ByteArrayOutputStream body = new ByteArrayOutputStream();
   private int status;
   private boolean isStream;
@@ -47,10 +47,12 @@
     this.startedAtMicros = history.nowMicros();
   }
 
+  /** Returns a future that completes with the recorded call when the call has ended. */
   CompletableFuture<HistoryEvent.Call> done() {
     return done;
   }
 
+  /** Returns the digest of the prompt that a node builds from the messages of a request. */
   static long digestOf(PlannedRequest request) {
     PromptText prompt =
         new PromptText()
@@ -60,8 +62,8 @@
   }
 
   @Override
-  public void onHead(int replyStatus, HttpHeaders headers) {
-    status = replyStatus;
+  public void onHead(int responseStatus, HttpHeaders headers) {
+    status = responseStatus;
     requestId = headers.get(HeaderNames.REQUEST_ID, "");
     isStream = headers.get("content-type", "").startsWith("text/event-stream");
   }
@@ -89,7 +91,7 @@
     if (data.has("error")) {
       readError(data);
     } else {
-      answer.append(data.path("choices").path(0).path("delta").path("content").asText(""));
+      responseText.append(data.path("choices").path(0).path("delta").path("content").asText(""));
     }
   }
 
@@ -114,7 +116,7 @@
     }
     JsonNode data = parse(body.toByteArray());
     if (status == OK) {
-      answer.append(data.path("choices").path(0).path("message").path("content").asText(""));
+      responseText.append(data.path("choices").path(0).path("message").path("content").asText(""));
       finish(CallEnd.COMPLETE);
       return;
     }
@@ -148,7 +150,7 @@
             request.idempotencyKey() == null ? "" : request.idempotencyKey(),
             end,
             errorCode,
-            answer.toString(),
+            responseText.toString(),
             startedAtMicros,
             firstTokenMicros,
             history.nowMicros());
