--- a/coordination/src/main/java/org/lockdale/coordination/configuration/ConfigurationConflictException.java
+++ b/coordination/src/main/java/org/lockdale/coordination/configuration/ConfigurationConflictException.java
@@ -10,7 +10,7 @@
 
   ConfigurationConflictException(long baseVersion, long acceptedVersion, String acceptedAuthor) {
     super(
-        "The edit was made on version "
+        "The edit is based on version "
             + baseVersion
             + ", but version "
             + acceptedVersion
--- a/http/src/main/java/org/lockdale/http/HttpClient.java
+++ b/http/src/main/java/org/lockdale/http/HttpClient.java
@@ -182,7 +182,8 @@
       pool.release(channel, address);
       if (call.tryEnd()) {
         listener.onFailure(
-            new HttpCallException(HttpCallException.Stage.NOT_SENT, "it may not be sent any more"));
+            new HttpCallException(
+                HttpCallException.Stage.NOT_SENT, "the request was withdrawn before it was sent"));
       }
       return;
     }
@@ -313,7 +314,7 @@
       if (body.size() + content.readableBytes() > MAX_REPLY_BYTES) {
         result.completeExceptionally(
             new HttpCallException(
-                HttpCallException.Stage.BROKEN_REPLY, "the reply is over the limit"));
+                HttpCallException.Stage.BROKEN_REPLY, "the reply exceeds the size limit"));
         return;
       }
       byte[] part = new byte[content.readableBytes()];
--- a/http/src/main/java/org/lockdale/http/HttpProtocolError.java
+++ b/http/src/main/java/org/lockdale/http/HttpProtocolError.java
@@ -7,9 +7,9 @@
   /** The request was not complete within the request timeout. */
   REQUEST_TIMEOUT(408, "The request body arrived too slowly; send it without pauses."),
   /** The body is larger than the limit. */
-  BODY_TOO_LARGE(413, "The request body is over the limit; shorten the prompt."),
+  BODY_TOO_LARGE(413, "The request body exceeds the limit; shorten the prompt."),
   /** The headers are larger than the limit. */
-  HEADERS_TOO_LARGE(431, "The request headers are over the limit; send fewer or shorter ones.");
+  HEADERS_TOO_LARGE(431, "The request headers exceed the limit; send fewer or shorter ones.");
 
   private final int status;
   private final String remedy;
--- a/http/src/main/java/org/lockdale/http/ResponseReader.java
+++ b/http/src/main/java/org/lockdale/http/ResponseReader.java
@@ -110,7 +110,7 @@
   @Override
   public void channelInactive(ChannelHandlerContext context) {
     pool.discard(context.channel(), address);
-    fail(context, true, "the connection closed before the reply was whole");
+    fail(context, true, "the connection closed before the reply was complete");
   }
 
   @Override
--- a/http/src/main/java/org/lockdale/http/ServerSentEventDecoder.java
+++ b/http/src/main/java/org/lockdale/http/ServerSentEventDecoder.java
@@ -58,7 +58,7 @@
       pending.discardReadBytes();
     }
     if (pending.readableBytes() > MAX_EVENT_BYTES) {
-      throw new IllegalArgumentException("an event of the engine's stream is over the limit");
+      throw new IllegalArgumentException("a server-sent event exceeds the size limit");
     }
   }
 
--- a/openai/src/main/java/org/lockdale/openai/CompletionRequest.java
+++ b/openai/src/main/java/org/lockdale/openai/CompletionRequest.java
@@ -112,7 +112,7 @@
     JsonNode messages = root.path("messages");
     if (!messages.isArray() || messages.isEmpty()) {
       throw invalid(
-          "missing_messages", "messages", "Give at least one message in the array 'messages'.");
+          "missing_messages", "messages", "'messages' must be an array with at least one message.");
     }
     PromptText text = new PromptText();
     for (JsonNode message : messages) {
@@ -127,7 +127,9 @@
     }
     if (!content.isArray()) {
       throw invalid(
-          "invalid_content", "content", "Each message needs 'content' as text or text parts.");
+          "invalid_content",
+          "content",
+          "Each message must have 'content' as a string or text parts.");
     }
     StringBuilder joined = new StringBuilder();
     for (JsonNode part : content) {
@@ -143,7 +145,7 @@
   private static String requiredText(JsonNode node, String field) {
     JsonNode value = node.path(field);
     if (!value.isTextual() || value.textValue().isEmpty()) {
-      throw invalid("missing_" + field, field, "Give '" + field + "' as a text.");
+      throw invalid("missing_" + field, field, "'" + field + "' must be a non-empty string.");
     }
     return value.textValue();
   }
@@ -162,7 +164,7 @@
       throw invalid(
           "invalid_max_tokens",
           "max_tokens",
-          "Give 'max_tokens' as a whole number from 1 to " + MAX_COMPLETION_TOKENS + ".");
+          "'max_tokens' must be a whole number from 1 to " + MAX_COMPLETION_TOKENS + ".");
     }
     return value.asInt();
   }
@@ -173,7 +175,7 @@
       return false;
     }
     if (!value.isBoolean()) {
-      throw invalid("invalid_stream", "stream", "Give 'stream' as true or false.");
+      throw invalid("invalid_stream", "stream", "'stream' must be true or false.");
     }
     return value.booleanValue();
   }
@@ -187,7 +189,7 @@
       throw invalid(
           "invalid_metadata",
           "metadata",
-          "Give 'metadata' as an object of at most " + MAX_METADATA_ENTRIES + " texts.");
+          "'metadata' must be an object of at most " + MAX_METADATA_ENTRIES + " strings.");
     }
     Map<String, String> labels = new TreeMap<>();
     for (Map.Entry<String, JsonNode> field : metadata.properties()) {
@@ -195,7 +197,7 @@
         throw invalid(
             "invalid_metadata",
             "metadata",
-            "The value of '" + field.getKey() + "' must be a text.");
+            "The value of '" + field.getKey() + "' must be a string.");
       }
       labels.put(field.getKey(), field.getValue().textValue());
     }
--- a/router/src/main/java/org/lockdale/router/error/ErrorKind.java
+++ b/router/src/main/java/org/lockdale/router/error/ErrorKind.java
@@ -8,13 +8,14 @@
   /** No bearer token. */
   MISSING_API_KEY(401, Group.AUTHENTICATION, "Send 'Authorization: Bearer KEY'.", 0),
   /** The key belongs to no tenant. */
-  INVALID_API_KEY(401, Group.AUTHENTICATION, "The API key is not known; ask your operator.", 0),
+  INVALID_API_KEY(
+      401, Group.AUTHENTICATION, "Check the key, or ask your operator for a valid one.", 0),
   /** The request sets a label that is reserved or that its tenant has with another value. */
   LABEL_NOT_ALLOWED(403, Group.PERMISSION, "Remove the label from 'metadata'.", 0),
   /** No such model or adapter. */
-  UNKNOWN_MODEL(404, Group.INVALID, "See GET /v1/models for the models.", 0),
+  UNKNOWN_MODEL(404, Group.INVALID, "See GET /v1/models for the available models.", 0),
   /** No such path. */
-  UNKNOWN_PATH(404, Group.INVALID, "See docs/CALLERS.md for the paths.", 0),
+  UNKNOWN_PATH(404, Group.INVALID, "See docs/CALLERS.md for the available paths.", 0),
   /** The path does not take the method. */
   METHOD_NOT_ALLOWED(405, Group.INVALID, "Use the method the path takes.", 0),
   /** The body is not JSON. */
@@ -28,17 +29,18 @@
   /** The tenant is at its limit. */
   TENANT_LIMIT(429, Group.RATE_LIMIT, "Send fewer requests at once.", 1),
   /** The engines are too busy to answer in time. */
-  OVERLOADED(503, Group.OVERLOAD, "Come back later.", 2),
+  OVERLOADED(503, Group.OVERLOAD, "Retry after the time in 'Retry-After'.", 2),
   /** No route matches the request's labels. */
-  NO_ROUTE(403, Group.PERMISSION, "Ask your operator for a route that matches.", 0),
+  NO_ROUTE(403, Group.PERMISSION, "Ask your operator for a matching route.", 0),
   /** No engine that the route allows is usable. */
-  NO_ENGINE(503, Group.OVERLOAD, "Come back later; the operators' status page tells more.", 5),
+  NO_ENGINE(503, Group.OVERLOAD, "Retry later; the operators' status page shows the engines.", 5),
   /** The engine failed before the response was complete. */
-  ENGINE_FAILED(502, Group.SERVER, "Ask again.", 1),
+  ENGINE_FAILED(
+      502, Group.SERVER, "Retry, with the same idempotency key if the request has one.", 1),
   /** The claim of the idempotency key can't be written, so the request was not started. */
-  CLAIM_STORE_UNAVAILABLE(503, Group.OVERLOAD, "Send the same key again later.", 5),
+  CLAIM_STORE_UNAVAILABLE(503, Group.OVERLOAD, "Retry later with the same idempotency key.", 5),
   /** Another attempt with the same idempotency key may be running. */
-  REQUEST_IN_PROGRESS(409, Group.CONFLICT, "Send the same key again later.", 2),
+  REQUEST_IN_PROGRESS(409, Group.CONFLICT, "Retry later with the same idempotency key.", 2),
   /** The request may have run, but its outcome can't be determined. */
   OUTCOME_UNKNOWN(409, Group.CONFLICT, "Check the ledger before you use a new key.", 0),
   /** The request ran, but its response was too large to be stored. */
@@ -46,9 +48,9 @@
   /** The idempotency key was used for a request with another body. */
   IDEMPOTENCY_KEY_REUSED(422, Group.INVALID, "Use a new key for a new request.", 0),
   /** The node has received no configuration yet. */
-  NOT_READY(503, Group.OVERLOAD, "Ask another node.", 1),
+  NOT_READY(503, Group.OVERLOAD, "Retry, at another node if there is one.", 1),
   /** The node is stopping. */
-  STOPPING(503, Group.OVERLOAD, "Ask another node.", 1),
+  STOPPING(503, Group.OVERLOAD, "Retry, at another node if there is one.", 1),
   /** An internal error of the node. */
   INTERNAL(500, Group.SERVER, "Report the request id to your operator.", 1);
 
--- a/router/src/main/java/org/lockdale/router/node/CallerApi.java
+++ b/router/src/main/java/org/lockdale/router/node/CallerApi.java
@@ -57,14 +57,14 @@
       requireMethod(exchange, "GET");
       exchange.reply(models());
     } else {
-      throw RequestException.of(ErrorKind.UNKNOWN_PATH, "There is no path '" + path + "'.");
+      throw RequestException.of(ErrorKind.UNKNOWN_PATH, "The path '" + path + "' does not exist.");
     }
   }
 
   private static void requireMethod(HttpExchange exchange, String method) {
     if (!exchange.method().equals(method)) {
       throw RequestException.of(
-          ErrorKind.METHOD_NOT_ALLOWED, "The path takes " + method + " only.");
+          ErrorKind.METHOD_NOT_ALLOWED, "The path accepts only " + method + " requests.");
     }
   }
 
--- a/router/src/main/java/org/lockdale/router/operator/ConfigurationEditor.java
+++ b/router/src/main/java/org/lockdale/router/operator/ConfigurationEditor.java
@@ -58,11 +58,11 @@
     }
     if (request.baseVersion() < base.version()) {
       throw EditRejectedException.conflict(
-          "The edit was made on version "
+          "The edit is based on version "
               + request.baseVersion()
               + ", but version "
               + base.version()
-              + " is newer; get it, check your edit against it and apply it again.");
+              + " is newer; get the new version, check your edit against it and apply it again.");
     }
     ConfigurationChange change = checkedChange(base, request);
     if (request.dryRun()) {
--- a/router/src/main/java/org/lockdale/router/operator/EditRejectedException.java
+++ b/router/src/main/java/org/lockdale/router/operator/EditRejectedException.java
@@ -25,11 +25,11 @@
     return new EditRejectedException(
         503,
         "node_behind",
-        "The edit was made on version "
+        "The edit is based on version "
             + baseVersion
-            + ", but this node is at "
+            + ", but this node is at version "
             + currentVersion
-            + "; send it again in a second or to another node.");
+            + "; retry in a second or at another node.");
   }
 
   static EditRejectedException conflict(String message) {
--- a/router/src/main/java/org/lockdale/router/operator/Explainer.java
+++ b/router/src/main/java/org/lockdale/router/operator/Explainer.java
@@ -54,7 +54,7 @@
     Optional<Route> route = policies.routeOf(labels);
     ServedModel model = policies.models().get(request.model());
     if (route.isEmpty() || model == null) {
-      String reason = model == null ? "the model is not known" : "no route matches the labels";
+      String reason = model == null ? "the model does not exist" : "no route matches the labels";
       return new Explanation(policies.version(), labels, routes, "", "", List.of(), "", reason);
     }
     return explainChoice(request, policies, labels, routes, route.get(), model);
@@ -91,13 +91,13 @@
         route.priority().name(),
         engines,
         chosen.map(found -> found.engine().id()).orElse(""),
-        chosen.map(Explainer::describeChoice).orElse("no engine is allowed and up"));
+        chosen.map(Explainer::describeChoice).orElse("no allowed engine is available"));
   }
 
   private static String describeChoice(Placement placement) {
     return String.format(
         Locale.ROOT,
-        "least expected time to first token: %.1f ms, %d prompt tokens believed cached",
+        "least expected time to first token: %.1f ms, %d prompt tokens estimated to be cached",
         placement.expectedMillis(),
         placement.believedCachedTokens());
   }
@@ -140,13 +140,13 @@
       return "the route's engine selector does not match its labels";
     }
     if (engine.leaving()) {
-      return "it is leaving";
+      return "it is draining";
     }
     if (engine.incarnation().isEmpty()) {
-      return "it has not reported yet";
+      return "it has not reported its state yet";
     }
     if (engine.activity().isAvoided(now)) {
-      return "it failed a moment ago and is avoided for a while";
+      return "it failed recently and is temporarily avoided";
     }
     String held = engine.weights().get(request.model());
     if (!request.weightsVersion().equals(held)) {
--- a/router/src/main/java/org/lockdale/router/operator/OperatorApi.java
+++ b/router/src/main/java/org/lockdale/router/operator/OperatorApi.java
@@ -77,7 +77,10 @@
       exchange.reply(error(rejected.status(), rejected.code(), rejected.getMessage()));
     } catch (IOException malformed) {
       exchange.reply(
-          error(400, "invalid_request", "The body can't be read: " + malformed.getMessage()));
+          error(
+              400,
+              "invalid_request",
+              "The request body can't be parsed: " + malformed.getMessage()));
     }
   }
 
@@ -102,7 +105,8 @@
       case CONFIGURATION -> configuration(exchange);
       default ->
           exchange.reply(
-              error(404, "unknown_path", "There is no " + exchange.path() + " for operators."));
+              error(
+                  404, "unknown_path", "The operator API has no path '" + exchange.path() + "'."));
     }
   }
 
@@ -119,7 +123,10 @@
     }
     if (!isAuthorized(exchange)) {
       exchange.reply(
-          error(401, "invalid_token", "Send the operators' token of this node's settings."));
+          error(
+              401,
+              "invalid_token",
+              "Send 'Authorization: Bearer TOKEN' with this node's operators.token."));
       return;
     }
     EditRequest request = MAPPER.readValue(exchange.body(), EditRequest.class);
@@ -162,7 +169,7 @@
     return error(
             503,
             "platform_unavailable",
-            "The platform gave no answer ("
+            "The platform did not confirm the edit ("
                 + cause.getMessage()
                 + "); get the configuration to see whether the edit was accepted.")
         .with("retry-after", "2");
--- a/router/src/main/java/org/lockdale/router/platform/HttpTableService.java
+++ b/router/src/main/java/org/lockdale/router/platform/HttpTableService.java
@@ -108,7 +108,7 @@
           case SERVICE_UNAVAILABLE -> Kind.UNREACHABLE;
           default -> Kind.OUTCOME_UNKNOWN;
         };
-    return new TableServiceException(kind, "table service answered " + reply.status());
+    return new TableServiceException(kind, "the table service returned status " + reply.status());
   }
 
   private static long versionOf(HttpReply reply) {
--- a/router/src/main/java/org/lockdale/router/policy/ConfigurationValidator.java
+++ b/router/src/main/java/org/lockdale/router/policy/ConfigurationValidator.java
@@ -84,7 +84,7 @@
               + targetKind
               + "/"
               + target
-              + ", which does not exist; create it in the same edit or name another");
+              + ", which does not exist; create it in the same edit or refer to an existing one");
     }
   }
 
@@ -104,7 +104,7 @@
                     document.key()
                         + ": shares an API key with "
                         + other
-                        + "; give each tenant keys of its own");
+                        + "; give each tenant separate keys");
               }
             });
   }
--- a/router/src/main/java/org/lockdale/router/policy/PolicyParser.java
+++ b/router/src/main/java/org/lockdale/router/policy/PolicyParser.java
@@ -44,7 +44,7 @@
     ResourceKind.find(document.key().kind())
         .ifPresentOrElse(
             kind -> byKind.computeIfAbsent(kind, absent -> new ArrayList<>()).add(document),
-            () -> problems.accept(document.key() + ": the kind is not known to this version"));
+            () -> problems.accept(document.key() + ": this release does not support the kind"));
   }
 
   private List<ResourceDocument> of(ResourceKind kind) {
@@ -94,7 +94,7 @@
       return MAPPER.treeToValue(node, Selector.class);
     } catch (JsonProcessingException malformed) {
       problems.accept(
-          document.key() + ": the selector '" + field + "' can't be read and matches nothing");
+          document.key() + ": the selector '" + field + "' is invalid and matches nothing");
       return new Selector(
           Map.of(), List.of(new Selector.Requirement("", Selector.Operator.EXISTS, List.of())));
     }
--- a/router/src/main/java/org/lockdale/router/request/AuthenticationStep.java
+++ b/router/src/main/java/org/lockdale/router/request/AuthenticationStep.java
@@ -12,7 +12,7 @@
   @Override
   public CompletableFuture<Next> apply(RequestContext context) {
     if (context.policies.version() == 0) {
-      throw RequestException.of(ErrorKind.NOT_READY, "The node knows no configuration yet.");
+      throw RequestException.of(ErrorKind.NOT_READY, "The node has received no configuration yet.");
     }
     String authorization = context.exchange.header("authorization");
     if (authorization == null || !authorization.startsWith(BEARER)) {
@@ -24,7 +24,9 @@
             .policies
             .tenantOfKey(apiKey)
             .orElseThrow(
-                () -> RequestException.of(ErrorKind.INVALID_API_KEY, "The API key is wrong."));
+                () ->
+                    RequestException.of(
+                        ErrorKind.INVALID_API_KEY, "The API key belongs to no tenant."));
     context.enter(RequestStage.AUTHENTICATED);
     return CONTINUE;
   }
--- a/router/src/main/java/org/lockdale/router/request/ClaimStep.java
+++ b/router/src/main/java/org/lockdale/router/request/ClaimStep.java
@@ -111,7 +111,7 @@
             (claim, failure) -> {
               if (failure != null) {
                 // The row may name either attempt; neither can run any more, so the claims of both
-                // are given up.
+                // are released.
                 finisher.release(held);
                 finisher.abandon(held.key(), attempt);
                 throw storeUnavailableError();
@@ -124,7 +124,7 @@
   private static RequestException storeUnavailableError() {
     return RequestException.of(
         ErrorKind.CLAIM_STORE_UNAVAILABLE,
-        "The claim of the idempotency key could not be taken, so the request was not started.");
+        "The claim of the idempotency key could not be acquired; the request was not started.");
   }
 
   private static void recordClaim(RequestContext context, HeldClaim claim) {
@@ -149,13 +149,13 @@
       throw outcomeUnknownError();
     }
     throw RequestException.of(
-        ErrorKind.IDEMPOTENCY_KEY_REUSED, "The idempotency key was used with another body.");
+        ErrorKind.IDEMPOTENCY_KEY_REUSED, "The idempotency key was used for another request body.");
   }
 
   private static void replay(RequestContext context, ClaimRecord record) {
     if (record.getAnswerStatus() == 0) {
       throw RequestException.of(
-          ErrorKind.ANSWER_NOT_KEPT, "The answer was too large to be kept for a repeat.");
+          ErrorKind.ANSWER_NOT_KEPT, "The response was too large to be stored for repeats.");
     }
     byte[] body = new byte[record.getAnswerBody().remaining()];
     record.getAnswerBody().duplicate().get(body);
@@ -168,12 +168,12 @@
   private static RequestException outcomeUnknownError() {
     return RequestException.of(
         ErrorKind.OUTCOME_UNKNOWN,
-        "The request may have run before, and what came of it can't be found out.");
+        "The request may have run before, and its outcome can't be determined.");
   }
 
   private static RequestException inProgressError() {
     return RequestException.of(
-        ErrorKind.REQUEST_IN_PROGRESS, "Another attempt with this idempotency key is running.");
+        ErrorKind.REQUEST_IN_PROGRESS, "Another attempt with this idempotency key may be running.");
   }
 
   private CompletableFuture<Next> takeOverClaim(
--- a/router/src/main/java/org/lockdale/router/request/DispatchStep.java
+++ b/router/src/main/java/org/lockdale/router/request/DispatchStep.java
@@ -28,7 +28,7 @@
     if (context.callerDisconnected && !context.isRunOnce()) {
       activity.ended();
       return CompletableFuture.completedFuture(
-          new AttemptResult.NotStarted("the caller left before the request was sent"));
+          new AttemptResult.NotStarted("the caller disconnected before the request was sent"));
     }
     EngineAttempt attempt =
         new EngineAttempt(context, engines, messageOf(context), sink, tokenTimeoutMillis);
@@ -46,7 +46,8 @@
       context
           .exchange
           .disconnected()
-          .thenRunAsync(() -> attempt.cancel("the caller left"), context.exchange.eventLoop());
+          .thenRunAsync(
+              () -> attempt.cancel("the caller disconnected"), context.exchange.eventLoop());
     }
     return result.whenComplete(
         (attemptResult, failure) -> {
--- a/router/src/main/java/org/lockdale/router/request/EngineAttempt.java
+++ b/router/src/main/java/org/lockdale/router/request/EngineAttempt.java
@@ -111,7 +111,7 @@
                   TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - lastProgressNanos);
               if (sink.hasStarted() && idleMillis >= tokenTimeoutMillis) {
                 call.cancel();
-                resumeOrFail("the engine was silent for " + idleMillis + " ms");
+                resumeOrFail("the engine sent nothing for " + idleMillis + " ms");
               } else {
                 watchProgress();
               }
@@ -128,7 +128,7 @@
             && engine.incarnation().equals(headers.get(HeaderNames.ENGINE_INCARNATION));
     if (status == OK && !matchesAttempt) {
       call.cancel();
-      resumeOrFail("the engine's answer belongs to another attempt or incarnation");
+      resumeOrFail("the engine's response belongs to another attempt or incarnation");
       return;
     }
     boolean isStream = headers.get("content-type", "").startsWith("text/event-stream");
@@ -146,7 +146,7 @@
       sink.flush();
     } else if (body.size() + content.readableBytes() > MAX_RESPONSE_BYTES) {
       call.cancel();
-      finish(new AttemptResult.Failed("the engine's answer is over the size limit"));
+      finish(new AttemptResult.Failed("the engine's response exceeds the size limit"));
     } else {
       byte[] part = new byte[content.readableBytes()];
       content.readBytes(part);
@@ -185,7 +185,7 @@
     }
     if (status >= SERVER_ERROR && status != SERVICE_UNAVAILABLE) {
       // Not a rejection: the engine may have failed after the attempt started.
-      failAttempt("the engine answered " + status);
+      failAttempt("the engine returned status " + status);
     } else if (status != OK) {
       finishRejected();
     } else if (body != null) {
@@ -195,14 +195,15 @@
       sink.endStream();
       finish(new AttemptResult.Complete());
     } else {
-      resumeOrFail("the engine ended its stream early");
+      resumeOrFail("the engine ended the stream without its end marker");
     }
   }
 
   private void finishRejected() {
     String reason = body == null ? "" : body.toString(StandardCharsets.UTF_8);
     finish(
-        new AttemptResult.NotStarted("engine answered " + status + " " + extractErrorCode(reason)));
+        new AttemptResult.NotStarted(
+            "the engine returned status " + status + " " + extractErrorCode(reason)));
   }
 
   private static String extractErrorCode(String reason) {
@@ -221,7 +222,7 @@
       return;
     }
     if (failure.stage() == HttpCallException.Stage.NOT_SENT) {
-      finish(new AttemptResult.NotStarted("the engine can't be reached"));
+      finish(new AttemptResult.NotStarted("the engine is unreachable"));
       return;
     }
     resumeOrFail(failure.getMessage());
--- a/router/src/main/java/org/lockdale/router/request/LabellingStep.java
+++ b/router/src/main/java/org/lockdale/router/request/LabellingStep.java
@@ -33,7 +33,7 @@
       if (reserved && !requested.getValue().equals(labels.get(requested.getKey()))) {
         throw RequestException.builder(
                 ErrorKind.LABEL_NOT_ALLOWED,
-                "The label '" + requested.getKey() + "' is not the caller's to choose.")
+                "The label '" + requested.getKey() + "' is reserved or set by the tenant.")
             .parameter("metadata." + requested.getKey())
             .build();
       }
--- a/router/src/main/java/org/lockdale/router/request/ParsingStep.java
+++ b/router/src/main/java/org/lockdale/router/request/ParsingStep.java
@@ -22,13 +22,14 @@
     String contentType = Objects.requireNonNullElse(context.exchange.header("content-type"), "");
     if (!contentType.startsWith("application/json")) {
       throw RequestException.of(
-          ErrorKind.UNSUPPORTED_MEDIA_TYPE, "The content type is '" + contentType + "'.");
+          ErrorKind.UNSUPPORTED_MEDIA_TYPE,
+          "The content type '" + contentType + "' is not supported.");
     }
     CompletionRequest request = parse(context);
     ServedModel model = context.policies.models().get(request.model());
     if (model == null) {
       throw RequestException.builder(
-              ErrorKind.UNKNOWN_MODEL, "There is no model '" + request.model() + "'.")
+              ErrorKind.UNKNOWN_MODEL, "The model '" + request.model() + "' does not exist.")
           .parameter("model")
           .build();
     }
@@ -77,7 +78,7 @@
     }
     if (millis <= 0) {
       throw RequestException.of(
-          ErrorKind.DEADLINE_EXPIRED, "The deadline was over when the request arrived.");
+          ErrorKind.DEADLINE_EXPIRED, "The deadline had passed when the request arrived.");
     }
     context.deadlineNanos =
         context.exchange.receivedNanos() + TimeUnit.MILLISECONDS.toNanos(millis);
--- a/router/src/main/java/org/lockdale/router/request/PlacementStep.java
+++ b/router/src/main/java/org/lockdale/router/request/PlacementStep.java
@@ -57,7 +57,7 @@
                 () ->
                     RequestException.of(
                         ErrorKind.NO_ENGINE,
-                        "No engine that route '" + context.route.name() + "' allows is up."));
+                        "No engine allowed by route '" + context.route.name() + "' is available."));
     if (placement.expectedMillis() > context.millisToDeadline()) {
       throw overloadedError(placement.expectedMillis());
     }
--- a/router/src/main/java/org/lockdale/router/request/RequestPath.java
+++ b/router/src/main/java/org/lockdale/router/request/RequestPath.java
@@ -187,12 +187,13 @@
     if (result instanceof AttemptResult.Interrupted interrupted) {
       error =
           RequestException.of(
-              ErrorKind.ENGINE_FAILED, "The answer broke off: " + interrupted.reason() + ".");
+              ErrorKind.ENGINE_FAILED,
+              "The response was interrupted: " + interrupted.reason() + ".");
     } else {
       String reason = ((AttemptResult.Cancelled) result).reason();
       error =
           RequestException.builder(
-                  ErrorKind.DEADLINE_EXPIRED, "The request was given up: " + reason + ".")
+                  ErrorKind.DEADLINE_EXPIRED, "The request was cancelled: " + reason + ".")
               .outcome(Outcome.UNKNOWN)
               .build();
     }
@@ -249,7 +250,7 @@
       return known;
     }
     Logger.error(cause, "event=request-failed");
-    return RequestException.of(ErrorKind.INTERNAL, "The node failed.");
+    return RequestException.of(ErrorKind.INTERNAL, "The node had an internal error.");
   }
 
   /** Returns the number of final states of claims still to be written. */
--- a/router/src/main/java/org/lockdale/router/request/TenantLimitStep.java
+++ b/router/src/main/java/org/lockdale/router/request/TenantLimitStep.java
@@ -24,7 +24,7 @@
     if (!granted) {
       throw RequestException.of(
           ErrorKind.TENANT_LIMIT,
-          "Tenant '" + context.tenant.name() + "' is at its limit at this node.");
+          "Tenant '" + context.tenant.name() + "' has reached its limit at this node.");
     }
     context.tenantSlotAcquired = true;
     return CONTINUE;
