--- a/coordination/src/main/java/org/lockdale/coordination/configuration/ConfigurationHistory.java
+++ b/coordination/src/main/java/org/lockdale/coordination/configuration/ConfigurationHistory.java
@@ -154,7 +154,7 @@
     return readChanges(after + 1, collected);
   }
 
-  /** Returns whether a snapshot is to be written at a version. */
+  /** Returns whether a snapshot is due at a version. */
   public static boolean wantsSnapshot(long version) {
     return version % SNAPSHOT_INTERVAL == 0;
   }
--- a/coordination/src/test/java/org/lockdale/coordination/claim/RunOnceClaimsTest.java
+++ b/coordination/src/test/java/org/lockdale/coordination/claim/RunOnceClaimsTest.java
@@ -21,8 +21,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests that of several attempts with the same key at most one runs, and that no attempt which was
- * reported as not run does. Replies of the table service are lost, its writes take effect late, and
+ * Tests that at most one of several attempts with the same key runs, and that an attempt reported
+ * as not run never does. Replies of the table service are lost, its writes take effect late, and
  * nodes crash before or after the run.
  */
 public final class RunOnceClaimsTest {
--- a/coordination/src/test/java/org/lockdale/coordination/node/ClusterTest.java
+++ b/coordination/src/test/java/org/lockdale/coordination/node/ClusterTest.java
@@ -175,7 +175,9 @@
     assertFalse(versionWentBack);
   }
 
-  /** All other nodes know a leaving node as leaving, and do not declare it dead while it drains. */
+  /**
+   * All other nodes list a draining node as leaving, and do not declare it dead while it drains.
+   */
   @Test(dataProvider = "seeds")
   public void aLeavingNodeIsKnownToLeave(long seed) {
     startAndConverge(seed);
--- a/http/src/main/java/org/lockdale/http/HttpServer.java
+++ b/http/src/main/java/org/lockdale/http/HttpServer.java
@@ -31,8 +31,8 @@
 
   /**
    * One in this many of the allowed connections is held in reserve when the server reports whether
-   * it has room. Load balancers take two seconds to notice that it has none, and the reserve serves
-   * the connections that they still open in that time.
+   * it has spare connections. Load balancers take two seconds to notice that it has none, and the
+   * reserve serves the connections that they still open in that time.
    */
   private static final int RESERVE_DIVISOR = 8;
 
--- a/router/src/main/java/org/lockdale/router/limit/CapacityQueue.java
+++ b/router/src/main/java/org/lockdale/router/limit/CapacityQueue.java
@@ -86,7 +86,7 @@
     return waiter;
   }
 
-  /** Removes a request that is given up; returns false if it is no longer queued. */
+  /** Removes a request that is no longer to be started; returns false if it is not queued. */
   public synchronized boolean remove(Waiter waiter) {
     for (Level level : levels.values()) {
       Deque<Waiter> queue = level.byTenant.get(waiter.tenant);
