--- a/coordination/src/main/java/org/lockdale/coordination/table/TableServiceException.java
+++ b/coordination/src/main/java/org/lockdale/coordination/table/TableServiceException.java
@@ -5,7 +5,7 @@
 
   private static final long serialVersionUID = 1L;
 
-  /** The reason of a failure, which tells whether a write may have taken effect. */
+  /** The reason of a failure, which indicates whether a write may have taken effect. */
   public enum Kind {
     /** The row did not meet the condition of the write; nothing was written. */
     CONDITION_FAILED,
--- a/http/src/main/java/org/lockdale/http/HttpCallException.java
+++ b/http/src/main/java/org/lockdale/http/HttpCallException.java
@@ -5,7 +5,7 @@
 
   private static final long serialVersionUID = 1L;
 
-  /** How far a call had got when it failed. */
+  /** How far a call had progressed when it failed. */
   public enum Stage {
     /** No byte of the request left this process, so the peer can't have acted on it. */
     NOT_SENT,
@@ -43,7 +43,7 @@
     return new HttpCallException(Stage.NOT_SENT, false, true, message);
   }
 
-  /** Returns how far the call had got. */
+  /** Returns how far the call had progressed. */
   public Stage stage() {
     return stage;
   }
--- a/http/src/main/java/org/lockdale/http/package-info.java
+++ b/http/src/main/java/org/lockdale/http/package-info.java
@@ -1,4 +1,7 @@
-/** An HTTP/1.1 server and client on Netty's codec, shared by the daemon and the stand-ins. */
+/**
+ * An HTTP/1.1 server and client on Netty's codec, shared by the gateway, the router and the
+ * stand-ins.
+ */
 @NullMarked
 package org.lockdale.http;
 
--- a/router/src/main/java/org/lockdale/router/request/EngineAttempt.java
+++ b/router/src/main/java/org/lockdale/router/request/EngineAttempt.java
@@ -72,7 +72,7 @@
     return result;
   }
 
-  /** Cancels the attempt; its result completes after the engine was asked whether it ran. */
+  /** Cancels the attempt; its result completes after the engine was queried whether it ran. */
   void cancel(String reason) {
     if (result.isDone()) {
       return;
