--- a/benchmarks/src/main/java/org/lockdale/benchmarks/DecisionBenchmark.java
+++ b/benchmarks/src/main/java/org/lockdale/benchmarks/DecisionBenchmark.java
@@ -67,7 +67,7 @@
     labels.put("service", "service-20");
     labels.put("model", "model-1");
     chain = PrefixChain.of(scope, prompt);
-    prefixes.stored(chain, engines.engines().get(1).identity(), 0);
+    prefixes.recordStored(chain, engines.engines().get(1).identity(), 0);
   }
 
   /** Hashes the blocks of a prompt of 32,000 tokens. */
--- a/cli/src/main/java/org/lockdale/cli/CheckHistoryCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/CheckHistoryCommand.java
@@ -31,6 +31,6 @@
     }
     Verdict verdict = HistoryChecker.check(history);
     ReportPrinter.print(verdict);
-    return verdict.holds() ? ExitStatus.OK : ExitStatus.FAILED;
+    return verdict.passed() ? ExitStatus.OK : ExitStatus.FAILED;
   }
 }
--- a/cli/src/main/java/org/lockdale/cli/DemoCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/DemoCommand.java
@@ -61,7 +61,7 @@
       LoadReport report = LoadReport.of(cluster.history().events(), deployment::priorityOf);
       ReportPrinter.print(report, true);
       write(report);
-      return report.verdict().holds() ? ExitStatus.OK : ExitStatus.FAILED;
+      return report.verdict().passed() ? ExitStatus.OK : ExitStatus.FAILED;
     }
   }
 
--- a/cli/src/main/java/org/lockdale/cli/EngineCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/EngineCommand.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
-import org.lockdale.emulator.engine.CacheCensus;
+import org.lockdale.emulator.engine.BlockHolderCounts;
 import org.lockdale.emulator.engine.EngineServer;
 import org.lockdale.emulator.engine.EngineSettings;
 import org.lockdale.emulator.engine.RunRecord;
@@ -86,7 +86,7 @@
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     EngineSettings settings =
         EngineSettings.standard(id, zone, labels, models).withCacheBlocks(cacheBlocks);
-    EngineServer engine = EngineServer.start(settings, listen, group, ledger(), new CacheCensus());
+    EngineServer engine = EngineServer.start(settings, listen, group, ledger(), new BlockHolderCounts());
     register(new HttpClient(group), engine.address());
     System.out.println("ready engine=" + Addresses.format(engine.address()));
     new CountDownLatch(1).await();
--- a/cli/src/main/java/org/lockdale/cli/LocalCluster.java
+++ b/cli/src/main/java/org/lockdale/cli/LocalCluster.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import org.lockdale.emulator.engine.CacheCensus;
+import org.lockdale.emulator.engine.BlockHolderCounts;
 import org.lockdale.emulator.engine.EngineServer;
 import org.lockdale.emulator.engine.EngineSettings;
 import org.lockdale.emulator.history.HistoryRecorder;
@@ -45,7 +45,7 @@
       new MultiThreadIoEventLoopGroup(4, NioIoHandler.newFactory());
   private final HttpClient client = new HttpClient(group);
   private final HistoryRecorder history = new HistoryRecorder();
-  private final CacheCensus census = new CacheCensus();
+  private final BlockHolderCounts census = new BlockHolderCounts();
   private final PlatformServer platform;
   private final List<EngineServer> engines = new ArrayList<>();
   private final List<RouterNode> nodes = new ArrayList<>();
--- a/cli/src/main/java/org/lockdale/cli/ReportPrinter.java
+++ b/cli/src/main/java/org/lockdale/cli/ReportPrinter.java
@@ -46,7 +46,7 @@
   }
 
   static void print(Verdict verdict) {
-    if (verdict.holds()) {
+    if (verdict.passed()) {
       System.out.printf(
           "history check: holds (%d calls, %d runs)%n", verdict.calls(), verdict.runs());
       return;
--- a/cli/src/test/java/org/lockdale/cli/CallerInterfaceTest.java
+++ b/cli/src/test/java/org/lockdale/cli/CallerInterfaceTest.java
@@ -9,7 +9,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.function.UnaryOperator;
-import org.lockdale.emulator.engine.AnswerText;
+import org.lockdale.emulator.engine.ResponseText;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
@@ -45,7 +45,7 @@
   }
 
   private static String expectedText(String prompt, int tokens) {
-    return AnswerText.whole(AnswerText.digest(prompt.getBytes(StandardCharsets.UTF_8)), tokens);
+    return ResponseText.completeText(ResponseText.digest(prompt.getBytes(StandardCharsets.UTF_8)), tokens);
   }
 
   /** A plain completion returns the complete text. */
@@ -65,13 +65,13 @@
         post(
             "/v1/completions",
             "{\"model\":\"gift-llm\",\"prompt\":\"two\",\"max_tokens\":2,\"stream\":true}");
-    assertTrue(reply.contains("\"text\":\"" + AnswerText.tokenAt(digest("two"), 0)), reply);
-    assertTrue(reply.contains("\"text\":\"" + AnswerText.tokenAt(digest("two"), 1)), reply);
+    assertTrue(reply.contains("\"text\":\"" + ResponseText.tokenAt(digest("two"), 0)), reply);
+    assertTrue(reply.contains("\"text\":\"" + ResponseText.tokenAt(digest("two"), 1)), reply);
     assertTrue(reply.contains("data: [DONE]"), reply);
   }
 
   private static long digest(String prompt) {
-    return AnswerText.digest(prompt.getBytes(StandardCharsets.UTF_8));
+    return ResponseText.digest(prompt.getBytes(StandardCharsets.UTF_8));
   }
 
   /** Content in several text parts is the same prompt as their concatenation. */
--- a/cli/src/test/java/org/lockdale/cli/ConfigurationRaceTest.java
+++ b/cli/src/test/java/org/lockdale/cli/ConfigurationRaceTest.java
@@ -74,7 +74,7 @@
       assertTrue(sampler.awaitTermination(10, TimeUnit.SECONDS));
       sample(cluster);
       Verdict verdict = HistoryChecker.check(history.events());
-      assertTrue(verdict.holds(), verdict.violations().toString());
+      assertTrue(verdict.passed(), verdict.violations().toString());
       assertTrue(conflicts > 0, "no edit conflicted");
     }
   }
--- a/cli/src/test/java/org/lockdale/cli/FaultInjector.java
+++ b/cli/src/test/java/org/lockdale/cli/FaultInjector.java
@@ -87,7 +87,7 @@
   private void drainEngine() {
     EngineServer engine = anyEngine();
     injectedFaults.add("leave " + engine.settings().id());
-    String incarnation = engine.leave();
+    String incarnation = engine.drain();
     long now = cluster.history().nowMicros();
     cluster.history().add(new HistoryEvent.EngineLeaving(engine.settings().id(), incarnation, now));
   }
--- a/cli/src/test/java/org/lockdale/cli/FaultsTest.java
+++ b/cli/src/test/java/org/lockdale/cli/FaultsTest.java
@@ -59,7 +59,7 @@
       }
       LoadReport report = LoadReport.of(cluster.history().events(), deployment::priorityOf);
       assertTrue(
-          report.verdict().holds(),
+          report.verdict().passed(),
           "seed "
               + seed
               + " after "
--- a/cli/src/test/java/org/lockdale/cli/OutcomeAfterRetryTest.java
+++ b/cli/src/test/java/org/lockdale/cli/OutcomeAfterRetryTest.java
@@ -31,7 +31,7 @@
             .withEngines(List.of("pasig-a"), List.of(2), UnaryOperator.identity());
     try (LocalCluster cluster = LocalCluster.start(deployment, 1)) {
       EngineServer engine = cluster.engines().get(0);
-      cluster.engines().get(1).leave();
+      cluster.engines().get(1).drain();
       ProcessCluster.await(
           "the node knows that the other engine is draining", () -> seesDrainingEngine(cluster));
       try (RawHttp http = new RawHttp(cluster.callerAddresses().get(0))) {
--- a/cli/src/test/java/org/lockdale/cli/RunOnceTest.java
+++ b/cli/src/test/java/org/lockdale/cli/RunOnceTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.function.UnaryOperator;
 import org.lockdale.coordination.placement.PromptText;
-import org.lockdale.emulator.engine.AnswerText;
+import org.lockdale.emulator.engine.ResponseText;
 import org.lockdale.emulator.engine.EngineServer;
 import org.lockdale.emulator.history.HistoryEvent;
 import org.lockdale.emulator.platform.PlatformFaults;
@@ -67,7 +67,7 @@
   }
 
   private static long digest(String prompt) {
-    return AnswerText.digest(new PromptText().message("user", prompt).toBytes());
+    return ResponseText.digest(new PromptText().message("user", prompt).toBytes());
   }
 
   private long runsOf(String prompt) {
@@ -87,7 +87,7 @@
   @Test
   public void aRepeatGetsTheStoredAnswer() throws IOException, InterruptedException {
     String first = sendAndReadAll(0, "k1", "redeem one", 4);
-    assertTrue(first.contains(AnswerText.whole(digest("redeem one"), 4)), first);
+    assertTrue(first.contains(ResponseText.completeText(digest("redeem one"), 4)), first);
     ProcessCluster.await(
         "the response is stored",
         () -> responseStartsWith(1, "k1", "redeem one", 4, "http/1.1 200"));
--- a/cli/src/test/java/org/lockdale/cli/SeparateProcessesTest.java
+++ b/cli/src/test/java/org/lockdale/cli/SeparateProcessesTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Set;
 import org.lockdale.coordination.placement.PromptText;
-import org.lockdale.emulator.engine.AnswerText;
+import org.lockdale.emulator.engine.ResponseText;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
@@ -88,7 +88,7 @@
 
   private static String expected(String prompt) {
     byte[] text = new PromptText().message("user", prompt).toBytes();
-    return AnswerText.whole(AnswerText.digest(text), TOKENS);
+    return ResponseText.completeText(ResponseText.digest(text), TOKENS);
   }
 
   private HttpResponse<String> post(String zone, String prompt, boolean stream) {
--- a/cli/src/test/java/org/lockdale/cli/StockClientTest.java
+++ b/cli/src/test/java/org/lockdale/cli/StockClientTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.function.UnaryOperator;
 import org.lockdale.coordination.placement.PromptText;
-import org.lockdale.emulator.engine.AnswerText;
+import org.lockdale.emulator.engine.ResponseText;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
@@ -61,7 +61,7 @@
 
   private static String expected(String prompt) {
     byte[] text = new PromptText().message("user", prompt).toBytes();
-    return AnswerText.whole(AnswerText.digest(text), TOKENS);
+    return ResponseText.completeText(ResponseText.digest(text), TOKENS);
   }
 
   /** A completion without streaming returns the complete text and its token count. */
--- a/cli/src/test/java/org/lockdale/cli/StreamResumeTest.java
+++ b/cli/src/test/java/org/lockdale/cli/StreamResumeTest.java
@@ -8,7 +8,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.lockdale.coordination.placement.PromptText;
-import org.lockdale.emulator.engine.AnswerText;
+import org.lockdale.emulator.engine.ResponseText;
 import org.lockdale.emulator.engine.EngineServer;
 import org.lockdale.emulator.history.HistoryEvent;
 import org.testng.annotations.Test;
@@ -63,6 +63,6 @@
 
   private static String expected() {
     byte[] prompt = new PromptText().message("user", "go on").toBytes();
-    return AnswerText.whole(AnswerText.digest(prompt), TOKENS);
+    return ResponseText.completeText(ResponseText.digest(prompt), TOKENS);
   }
 }
--- a/cli/src/test/java/org/lockdale/cli/WeightsRolloutTest.java
+++ b/cli/src/test/java/org/lockdale/cli/WeightsRolloutTest.java
@@ -33,7 +33,7 @@
       long foreign = cluster.engines().stream().mapToLong(EngineServer::foreignReuses).sum();
       assertEquals(foreign, 0, "blocks of older weights were used");
       LoadReport report = LoadReport.of(cluster.history().events(), deployment::priorityOf);
-      assertTrue(report.verdict().holds(), report.verdict().violations().toString());
+      assertTrue(report.verdict().passed(), report.verdict().violations().toString());
       assertEquals(
           report.ends().get(HistoryEvent.CallEnd.COMPLETE.name()),
           Integer.valueOf(report.requests()),
--- a/coordination/src/main/java/org/lockdale/coordination/blackboard/Snapshot.java
+++ b/coordination/src/main/java/org/lockdale/coordination/blackboard/Snapshot.java
@@ -5,12 +5,12 @@
  *
  * @param value immutable value
  * @param version number of values published before this one
- * @param trueAtMillis monotonic time at which the value was known to be current, in milliseconds
+ * @param asOfMillis monotonic time at which the value was known to be current, in milliseconds
  */
-public record Snapshot<T>(T value, long version, long trueAtMillis) {
+public record Snapshot<T>(T value, long version, long asOfMillis) {
 
   /** Returns the age of the value at a monotonic time, in milliseconds. */
   public long ageMillis(long nowMillis) {
-    return nowMillis - trueAtMillis;
+    return nowMillis - asOfMillis;
   }
 }
--- a/coordination/src/main/java/org/lockdale/coordination/configuration/ConfigurationHistory.java
+++ b/coordination/src/main/java/org/lockdale/coordination/configuration/ConfigurationHistory.java
@@ -155,7 +155,7 @@
   }
 
   /** Returns whether a snapshot is due at a version. */
-  public static boolean wantsSnapshot(long version) {
+  public static boolean isSnapshotDue(long version) {
     return version % SNAPSHOT_INTERVAL == 0;
   }
 
--- a/coordination/src/main/java/org/lockdale/coordination/lease/Lease.java
+++ b/coordination/src/main/java/org/lockdale/coordination/lease/Lease.java
@@ -50,7 +50,7 @@
    * @param reading reply of the store
    * @param requestedAtMillis monotonic time at which the read was sent
    */
-  public void observed(LeaseReading reading, long requestedAtMillis) {
+  public void recordRead(LeaseReading reading, long requestedAtMillis) {
     if (isOutdated(reading)) {
       return;
     }
@@ -84,7 +84,7 @@
    * @param reading the row as written
    * @param requestedAtMillis monotonic time at which the write was sent
    */
-  public void written(LeaseReading reading, long requestedAtMillis) {
+  public void recordWrite(LeaseReading reading, long requestedAtMillis) {
     if (isOutdated(reading)) {
       return;
     }
@@ -99,7 +99,7 @@
   }
 
   /** Stops acting under the lease, for example after a write with an unknown outcome. */
-  public void lost() {
+  public void relinquish() {
     held = false;
   }
 
@@ -118,7 +118,7 @@
   }
 
   /** Returns the fencing token of actions under the lease; 0 before the first reading. */
-  public long fence() {
+  public long fencingToken() {
     return latest == null ? 0 : latest.version();
   }
 
--- a/coordination/src/test/java/org/lockdale/coordination/lease/LeaseTest.java
+++ b/coordination/src/test/java/org/lockdale/coordination/lease/LeaseTest.java
@@ -149,7 +149,7 @@
           node,
           () -> {
             if (leases[node].mayAct(localTime(node))) {
-              actions.add(new Action(node, now, leases[node].fence()));
+              actions.add(new Action(node, now, leases[node].fencingToken()));
             }
             read(node);
           });
@@ -179,7 +179,7 @@
         return;
       }
       LeaseReading reading = asReadBy(node, reply);
-      leases[node].observed(reading, requestedAt);
+      leases[node].recordRead(reading, requestedAt);
       Optional<LeaseRow> claim = leases[node].claim();
       if (claim.isEmpty()) {
         return;
@@ -207,7 +207,7 @@
 
     private void writeDone(int node, LeaseReading reply, boolean sameEra, long requestedAt) {
       if (acceptsEra(node, StoreVersion.ofPacked(reply.version()).era()) && sameEra) {
-        leases[node].written(asReadBy(node, reply), requestedAt);
+        leases[node].recordWrite(asReadBy(node, reply), requestedAt);
       }
     }
 
@@ -253,10 +253,10 @@
   public void anotherHoldersLeaseIsTakenOnlyAfterItsEndAndGuard() {
     Lease lease = new Lease("b", DURATION, GUARD);
     LeaseRow held = new LeaseRow("a", 1_000);
-    lease.observed(new LeaseReading(held, 7, 1_000 + GUARD - 1), 0);
+    lease.recordRead(new LeaseReading(held, 7, 1_000 + GUARD - 1), 0);
     assertTrue(lease.claim().isEmpty());
     assertEquals(lease.millisUntilFree(), 1);
-    lease.observed(new LeaseReading(held, 7, 1_000 + GUARD), 0);
+    lease.recordRead(new LeaseReading(held, 7, 1_000 + GUARD), 0);
     assertEquals(lease.claim().orElseThrow().holder(), "b");
   }
 
@@ -268,13 +268,13 @@
   @Test
   public void aRowThatCannotBeReadIsTakenOverAfterTheLongestHold() {
     Lease lease = new Lease("b", DURATION, GUARD);
-    lease.observed(new LeaseReading(new LeaseRow("a", 10_000), 7, 9_000), 0);
-    lease.observed(new LeaseReading(null, 8, 9_500), 500);
+    lease.recordRead(new LeaseReading(new LeaseRow("a", 10_000), 7, 9_000), 0);
+    lease.recordRead(new LeaseReading(null, 8, 9_500), 500);
     assertTrue(lease.claim().isEmpty());
-    lease.observed(new LeaseReading(null, 8, 9_500 + DURATION + GUARD - 1), 5_000);
+    lease.recordRead(new LeaseReading(null, 8, 9_500 + DURATION + GUARD - 1), 5_000);
     assertTrue(lease.claim().isEmpty());
     assertEquals(lease.millisUntilFree(), 1);
-    lease.observed(new LeaseReading(null, 8, 9_500 + DURATION + GUARD), 5_001);
+    lease.recordRead(new LeaseReading(null, 8, 9_500 + DURATION + GUARD), 5_001);
     assertEquals(lease.claim().orElseThrow().holder(), "b");
     assertEquals(lease.expectedVersion(), 8);
   }
@@ -282,9 +282,9 @@
   @Test
   public void aHolderStopsWhenItsRowBecomesUnreadable() {
     Lease lease = new Lease("a", DURATION, GUARD);
-    lease.written(new LeaseReading(new LeaseRow("a", 10_000), 7, 9_000), 0);
+    lease.recordWrite(new LeaseReading(new LeaseRow("a", 10_000), 7, 9_000), 0);
     assertTrue(lease.mayAct(100));
-    lease.observed(new LeaseReading(null, 8, 9_100), 100);
+    lease.recordRead(new LeaseReading(null, 8, 9_100), 100);
     assertFalse(lease.mayAct(100));
   }
 
@@ -318,12 +318,12 @@
   @Test
   public void aRowLostInARestoreIsTakenAfterFormerHoldsHaveEnded() {
     Lease lease = new Lease("b", DURATION, GUARD);
-    lease.observed(new LeaseReading(new LeaseRow("a", 10_000), 100, 9_000), 0);
+    lease.recordRead(new LeaseReading(new LeaseRow("a", 10_000), 100, 9_000), 0);
     long none = new StoreVersion(1, 0).packed();
-    lease.observed(new LeaseReading(null, none, 9_500, 0), 500);
+    lease.recordRead(new LeaseReading(null, none, 9_500, 0), 500);
     assertTrue(lease.claim().isEmpty());
     assertEquals(lease.millisUntilFree(), DURATION + GUARD);
-    lease.observed(new LeaseReading(null, none, 14_000, DURATION + GUARD), 5_000);
+    lease.recordRead(new LeaseReading(null, none, 14_000, DURATION + GUARD), 5_000);
     assertEquals(lease.claim().orElseThrow().holder(), "b");
     assertEquals(lease.expectedVersion(), none);
   }
@@ -331,12 +331,12 @@
   @Test
   public void aHolderStopsBeforeTheEndThatItWrote() {
     Lease lease = new Lease("a", DURATION, GUARD);
-    lease.observed(new LeaseReading(null, 0, 10_000), 0);
+    lease.recordRead(new LeaseReading(null, 0, 10_000), 0);
     LeaseRow claim = lease.claim().orElseThrow();
-    lease.written(new LeaseReading(claim, 1, 10_010), 5);
+    lease.recordWrite(new LeaseReading(claim, 1, 10_010), 5);
     assertTrue(lease.mayAct(100));
     assertFalse(lease.mayAct(DURATION));
-    lease.lost();
+    lease.relinquish();
     assertFalse(lease.mayAct(100));
   }
 }
--- a/emulator/src/main/java/org/lockdale/emulator/engine/BlockCache.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/BlockCache.java
@@ -11,11 +11,11 @@
 
   private final int capacity;
   private final CacheEventLog events;
-  private final CacheCensus holderCounts;
+  private final BlockHolderCounts holderCounts;
   private final LinkedHashMap<Long, String> ownerByBlock = new LinkedHashMap<>(16, 0.75f, true);
   private long foreignReuses;
 
-  BlockCache(int capacity, CacheEventLog events, CacheCensus holderCounts) {
+  BlockCache(int capacity, CacheEventLog events, BlockHolderCounts holderCounts) {
     this.capacity = capacity;
     this.events = events;
     this.holderCounts = holderCounts;
--- a/emulator/src/main/java/org/lockdale/emulator/engine/CacheCensus.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/BlockHolderCounts.java
@@ -9,7 +9,7 @@
  * cache events. Serves as the reference for wasted recomputation, that is of blocks that another
  * engine held. Safe for use by several threads.
  */
-public final class CacheCensus {
+public final class BlockHolderCounts {
 
   private final Map<Long, Integer> holders = new ConcurrentHashMap<>();
 
--- a/emulator/src/main/java/org/lockdale/emulator/engine/EngineHttpHandler.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/EngineHttpHandler.java
@@ -148,7 +148,7 @@
         weights,
         tenant + "|" + body.model() + "|" + loaded,
         PrefixChain.of(scope, body.prompt()),
-        AnswerText.digest(body.prompt()),
+        ResponseText.digest(body.prompt()),
         promptTokens,
         body.maxTokens(),
         Integer.parseInt(header(exchange, HeaderNames.PRIORITY, "0")));
--- a/emulator/src/main/java/org/lockdale/emulator/engine/EngineModel.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/EngineModel.java
@@ -17,7 +17,7 @@
 /**
  * Model of an inference engine with continuous batching. It does no I/O and reads the time from a
  * given clock, so that the same model runs behind HTTP and in simulations. It works in steps:
- * {@link #beginStep} plans a step and returns its duration, {@link #completeStep} delivers its
+ * {@link #startStep} plans a step and returns its duration, {@link #completeStep} delivers its
  * tokens. Not safe for use by several threads.
  */
 public final class EngineModel {
@@ -33,7 +33,7 @@
   private final Consumer<RunRecord> runListener;
   private final CacheEventLog events;
   private final BlockCache cache;
-  private final CacheCensus holderCounts;
+  private final BlockHolderCounts holderCounts;
   private final Map<String, String> weights;
   private final PriorityQueue<Attempt> queue =
       new PriorityQueue<>(
@@ -66,7 +66,7 @@
       UniformRandomProvider random,
       LongSupplier nowMicros,
       Consumer<RunRecord> runListener,
-      CacheCensus holderCounts) {
+      BlockHolderCounts holderCounts) {
     this.settings = settings;
     this.incarnation = incarnation;
     this.nowMicros = nowMicros;
@@ -177,7 +177,7 @@
     }
     attempt.output = output;
     for (int index = firstIndex; index < attempt.generatedTokens; index++) {
-      output.onToken(index, AnswerText.tokenAt(attempt.request.promptDigest(), index));
+      output.onToken(index, ResponseText.tokenAt(attempt.request.promptDigest(), index));
     }
     if (attempt.fate == AttemptFate.FINISHED) {
       output.onFinished(attempt.usage());
@@ -186,7 +186,7 @@
   }
 
   /** Plans the next step and returns its duration in microseconds, or -1 if there is no work. */
-  public long beginStep() {
+  public long startStep() {
     admit();
     prefillPlan.clear();
     decodePlan.clear();
@@ -243,7 +243,7 @@
     return Math.max(0, Math.min(heldTokens, attempt.request.promptTokens()) - attempt.cachedTokens);
   }
 
-  /** Completes the step that {@link #beginStep} planned and delivers its tokens. */
+  /** Completes the step that {@link #startStep} planned and delivers its tokens. */
   public void completeStep() {
     for (Map.Entry<Attempt, Integer> planned : prefillPlan.entrySet()) {
       Attempt attempt = planned.getKey();
@@ -264,7 +264,7 @@
   private void generate(Attempt attempt) {
     int index = attempt.generatedTokens;
     attempt.generatedTokens++;
-    attempt.output.onToken(index, AnswerText.tokenAt(attempt.request.promptDigest(), index));
+    attempt.output.onToken(index, ResponseText.tokenAt(attempt.request.promptDigest(), index));
     if (attempt.isComplete() && attempt.fate == AttemptFate.RUNNING) {
       attempt.fate = AttemptFate.FINISHED;
       attempt.output.onFinished(attempt.usage());
--- a/emulator/src/main/java/org/lockdale/emulator/engine/EngineServer.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/EngineServer.java
@@ -23,7 +23,7 @@
   private final EngineSettings settings;
   private final EventLoop eventLoop;
   private final Consumer<RunRecord> runListener;
-  private final CacheCensus holderCounts;
+  private final BlockHolderCounts holderCounts;
   private final long startNanos = System.nanoTime();
   private volatile EngineModel model;
   private volatile boolean frozen;
@@ -34,7 +34,7 @@
       EngineSettings settings,
       EventLoop eventLoop,
       Consumer<RunRecord> runListener,
-      CacheCensus holderCounts) {
+      BlockHolderCounts holderCounts) {
     this.holderCounts = holderCounts;
     this.settings = settings;
     this.eventLoop = eventLoop;
@@ -56,7 +56,7 @@
       InetSocketAddress address,
       EventLoopGroup group,
       Consumer<RunRecord> runListener,
-      CacheCensus holderCounts) {
+      BlockHolderCounts holderCounts) {
     EngineServer engine = new EngineServer(settings, group.next(), runListener, holderCounts);
     HttpServerSettings limits =
         new HttpServerSettings(
@@ -132,7 +132,7 @@
 
   private void step() {
     EngineModel current = model;
-    long micros = current.beginStep();
+    long micros = current.startStep();
     stepping = micros >= 0;
     if (stepping) {
       eventLoop.schedule(() -> completeStep(current), micros, TimeUnit.MICROSECONDS);
@@ -167,7 +167,7 @@
    *
    * @return the incarnation that drains
    */
-  public String leave() {
+  public String drain() {
     EngineOrder order = new EngineOrder(Long.MAX_VALUE, EngineOrder.Action.LEAVE, "", "");
     return eventLoop
         .submit(
--- a/emulator/src/main/java/org/lockdale/emulator/engine/JsonResponse.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/JsonResponse.java
@@ -34,7 +34,7 @@
   @Override
   public void onFinished(EngineUsage usage) {
     byte[] body =
-        json.whole(
+        json.completion(
             text.toString(), usage.promptTokens(), usage.cachedTokens(), usage.completionTokens());
     exchange.reply(
         HttpReply.json(200, body)
--- a/emulator/src/main/java/org/lockdale/emulator/engine/AnswerText.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/ResponseText.java
@@ -7,12 +7,12 @@
  * The response text of an emulated engine. It depends on the prompt alone, so that whoever knows
  * the prompt can verify that a response belongs to it, is complete and is in order.
  */
-public final class AnswerText {
+public final class ResponseText {
 
   private static final int TOKEN_LETTERS = 4;
   private static final int ALPHABET = 26;
 
-  private AnswerText() {}
+  private ResponseText() {}
 
   /** Returns the digest of a prompt. */
   public static long digest(byte[] prompt) {
@@ -31,7 +31,7 @@
   }
 
   /** Returns the complete response to a prompt. */
-  public static String whole(long promptDigest, int tokens) {
+  public static String completeText(long promptDigest, int tokens) {
     StringBuilder text = new StringBuilder();
     for (int index = 0; index < tokens; index++) {
       text.append(tokenAt(promptDigest, index));
--- a/emulator/src/main/java/org/lockdale/emulator/history/HistoryChecker.java
+++ b/emulator/src/main/java/org/lockdale/emulator/history/HistoryChecker.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.lockdale.emulator.engine.AnswerText;
+import org.lockdale.emulator.engine.ResponseText;
 
 /**
  * Checks a history against the guarantees given to users. Which attempts ran is taken from the
@@ -66,7 +66,7 @@
   }
 
   private void checkResponse(HistoryEvent.Call call) {
-    String expected = AnswerText.whole(call.promptDigest(), call.expectedTokens());
+    String expected = ResponseText.completeText(call.promptDigest(), call.expectedTokens());
     if (call.end() == HistoryEvent.CallEnd.COMPLETE && !call.answer().equals(expected)) {
       violations.add(
           "call "
--- a/emulator/src/main/java/org/lockdale/emulator/history/Verdict.java
+++ b/emulator/src/main/java/org/lockdale/emulator/history/Verdict.java
@@ -12,7 +12,7 @@
 public record Verdict(int calls, int runs, List<String> violations) {
 
   /** Returns whether no guarantee was violated. */
-  public boolean holds() {
+  public boolean passed() {
     return violations.isEmpty();
   }
 }
--- a/emulator/src/main/java/org/lockdale/emulator/load/CallerExchange.java
+++ b/emulator/src/main/java/org/lockdale/emulator/load/CallerExchange.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
 import org.lockdale.coordination.placement.PromptText;
-import org.lockdale.emulator.engine.AnswerText;
+import org.lockdale.emulator.engine.ResponseText;
 import org.lockdale.emulator.history.HistoryEvent;
 import org.lockdale.emulator.history.HistoryEvent.CallEnd;
 import org.lockdale.emulator.history.HistoryRecorder;
@@ -58,7 +58,7 @@
         new PromptText()
             .message("system", request.systemPrompt())
             .message("user", request.userPrompt());
-    return AnswerText.digest(prompt.toBytes());
+    return ResponseText.digest(prompt.toBytes());
   }
 
   @Override
--- a/emulator/src/test/java/org/lockdale/emulator/engine/EngineModelTest.java
+++ b/emulator/src/test/java/org/lockdale/emulator/engine/EngineModelTest.java
@@ -53,7 +53,7 @@
             RandomSource.XO_RO_SHI_RO_128_PP.create(1),
             () -> nowMicros,
             ran::add,
-            new CacheCensus());
+            new BlockHolderCounts());
   }
 
   private static EngineRequest request(String attempt, int blocks, int priority) {
@@ -89,7 +89,7 @@
 
   private void runSteps(int steps) {
     for (int step = 0; step < steps; step++) {
-      long micros = engine.beginStep();
+      long micros = engine.startStep();
       if (micros < 0) {
         return;
       }
@@ -185,7 +185,7 @@
   public void reportsAndEventsLag() {
     assertEquals(engine.loadReport().running(), 0);
     submit("a", 20, 1);
-    engine.beginStep();
+    engine.startStep();
     assertEquals(engine.loadReport().running(), 0, "the report is not old enough to be renewed");
     engine.completeStep();
     assertEquals(engine.cacheEventsAfter(0).size(), 0, "events are not published immediately");
--- a/emulator/src/test/java/org/lockdale/emulator/history/HistoryCheckerTest.java
+++ b/emulator/src/test/java/org/lockdale/emulator/history/HistoryCheckerTest.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import org.lockdale.emulator.engine.AnswerText;
+import org.lockdale.emulator.engine.ResponseText;
 import org.lockdale.emulator.history.HistoryEvent.CallEnd;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
@@ -18,7 +18,7 @@
 
   private static final long PROMPT = 42;
   private static final int TOKENS = 4;
-  private static final String COMPLETE_TEXT = AnswerText.whole(PROMPT, TOKENS);
+  private static final String COMPLETE_TEXT = ResponseText.completeText(PROMPT, TOKENS);
   private static final long SECOND = 1_000_000;
 
   private static HistoryEvent.Call call(CallEnd end, String key, String answer) {
@@ -34,7 +34,7 @@
   @DataProvider
   public Object[][] invalidHistories() {
     HistoryEvent.Run run = run("e1", "request-1", 0);
-    String other = AnswerText.whole(PROMPT + 1, TOKENS);
+    String other = ResponseText.completeText(PROMPT + 1, TOKENS);
     return new Object[][] {
       {
         List.of(call(CallEnd.COMPLETE, "k", COMPLETE_TEXT), run, run("e2", "x-1", 0)), "ran 2 times"
@@ -86,7 +86,7 @@
     try {
       HistoryFile.write(file, history);
       assertEquals(HistoryFile.read(file), history);
-      assertTrue(HistoryChecker.check(HistoryFile.read(file)).holds());
+      assertTrue(HistoryChecker.check(HistoryFile.read(file)).passed());
     } finally {
       Files.delete(file);
     }
--- a/experiments/src/main/java/org/lockdale/experiments/PlacementSimulation.java
+++ b/experiments/src/main/java/org/lockdale/experiments/PlacementSimulation.java
@@ -11,8 +11,8 @@
 import org.lockdale.coordination.placement.PrefixChain;
 import org.lockdale.coordination.placement.PromptText;
 import org.lockdale.coordination.simulation.VirtualTime;
-import org.lockdale.emulator.engine.AnswerText;
-import org.lockdale.emulator.engine.CacheCensus;
+import org.lockdale.emulator.engine.ResponseText;
+import org.lockdale.emulator.engine.BlockHolderCounts;
 import org.lockdale.emulator.engine.EngineOutput;
 import org.lockdale.emulator.engine.EngineRequest;
 import org.lockdale.emulator.engine.EngineUsage;
@@ -53,7 +53,7 @@
     this.scenario = scenario;
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     this.workload = scenario.newWorkload();
-    CacheCensus census = new CacheCensus();
+    BlockHolderCounts census = new BlockHolderCounts();
     for (int zone = 0; zone < scenario.zones().size(); zone++) {
       for (int number = 0; number < scenario.engines().get(zone); number++) {
         String id = String.format("llm-%02d", engines.size() + 1);
@@ -123,7 +123,7 @@
     int tokens = Math.max(1, prompt.length / BYTES_PER_TOKEN);
     PlacementPolicy.Choice choice = policy.choose(node, engines, chain, tokens);
     SimulatedEngine engine = choice.engine();
-    node.activityOf(engine).sent(choice.uncachedTokens());
+    node.activityOf(engine).recordSend(choice.uncachedTokens());
     boolean isInOtherZone = !engine.zone().equals(node.zone());
     double hopMillis = isInOtherZone ? scenario.zoneLatencyMillis() : 0;
     boolean isPatient = PATIENT_SERVICES.contains(request.service());
@@ -135,7 +135,7 @@
             "",
             request.tenant(),
             chain,
-            AnswerText.digest(("" + sent).getBytes(StandardCharsets.UTF_8)),
+            ResponseText.digest(("" + sent).getBytes(StandardCharsets.UTF_8)),
             tokens,
             request.maxTokens(),
             isPatient ? PATIENT_PRIORITY : URGENT_PRIORITY);
@@ -192,13 +192,13 @@
 
     @Override
     public void onFinished(EngineUsage usage) {
-      node.activityOf(engine).ended();
-      node.prefixes().stored(chain, engine.identity(), time.monotonicMillis());
+      node.activityOf(engine).recordEnd();
+      node.prefixes().recordStored(chain, engine.identity(), time.monotonicMillis());
     }
 
     @Override
     public void onBroken(String reason) {
-      node.activityOf(engine).ended();
+      node.activityOf(engine).recordEnd();
     }
   }
 }
--- a/experiments/src/main/java/org/lockdale/experiments/Policies.java
+++ b/experiments/src/main/java/org/lockdale/experiments/Policies.java
@@ -102,7 +102,7 @@
         EngineChooser.choose(request, match, node.engines(), distances, node.zone(), now)
             .orElseThrow();
     return new Choice(
-        byId(engines, chosen.engine().id()), promptTokens - chosen.believedCachedTokens());
+        byId(engines, chosen.engine().id()), promptTokens - chosen.estimatedCachedTokens());
   }
 
   private static SimulatedEngine byId(List<SimulatedEngine> engines, String id) {
--- a/experiments/src/main/java/org/lockdale/experiments/SimulatedEngine.java
+++ b/experiments/src/main/java/org/lockdale/experiments/SimulatedEngine.java
@@ -5,7 +5,7 @@
 import org.lockdale.coordination.placement.PrefixChain;
 import org.lockdale.coordination.placement.Rendezvous;
 import org.lockdale.coordination.simulation.VirtualTime;
-import org.lockdale.emulator.engine.CacheCensus;
+import org.lockdale.emulator.engine.BlockHolderCounts;
 import org.lockdale.emulator.engine.EngineModel;
 import org.lockdale.emulator.engine.EngineOutput;
 import org.lockdale.emulator.engine.EngineRequest;
@@ -33,7 +33,7 @@
       VirtualTime time,
       UniformRandomProvider random,
       Ledger ledger,
-      CacheCensus census) {
+      BlockHolderCounts census) {
     this.time = time;
     this.settings = settings;
     this.identity = Rendezvous.identityOf(settings.id());
@@ -95,7 +95,7 @@
   }
 
   private void step() {
-    long micros = model.beginStep();
+    long micros = model.startStep();
     stepping = micros >= 0;
     if (stepping) {
       time.schedule(
--- a/experiments/src/main/java/org/lockdale/experiments/SimulatedNodeView.java
+++ b/experiments/src/main/java/org/lockdale/experiments/SimulatedNodeView.java
@@ -64,7 +64,7 @@
   private void refresh(SimulatedEngine engine) {
     LoadReport report = engine.report();
     EngineActivity activity = activities.get(engine.id());
-    activity.reported();
+    activity.resetSinceReport();
     EngineLoad load =
         new EngineLoad(
             report.running(),
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendLoad.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendLoad.java
@@ -31,7 +31,7 @@
      *
      * @return whether this is the first call, made before the request ended
      */
-    public boolean begin() {
+    public boolean recordStart() {
       if (started || ended) {
         return false;
       }
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/DatagramExchange.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/DatagramExchange.java
@@ -159,15 +159,15 @@
     protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
       try {
         byte[] message = ByteBufUtil.getBytes(packet.content());
-        if (noticeCodec.wrote(message)) {
+        if (noticeCodec.matchesSchema(message)) {
           NodeNotice notice = noticeCodec.decode(message);
           meter.received(kindOf(notice.getBody()), message.length);
           dispatch(notice);
-        } else if (rateCodec.wrote(message)) {
+        } else if (rateCodec.matchesSchema(message)) {
           RateDatagram datagram = rateCodec.decode(message);
           meter.received(RATE_KIND_PREFIX + kindOf(datagram.getBody()), message.length);
           dispatch(datagram, packet.sender());
-        } else if (drainCodec.wrote(message)) {
+        } else if (drainCodec.matchesSchema(message)) {
           DrainDatagram datagram = drainCodec.decode(message);
           meter.received(kindOf(datagram.getBody()), message.length);
           dispatch(datagram);
--- a/gateway/src/main/java/org/lockdale/gateway/configuration/OperatorRecord.java
+++ b/gateway/src/main/java/org/lockdale/gateway/configuration/OperatorRecord.java
@@ -16,5 +16,5 @@
    * @param model name of the model
    * @param version version of the weights that is to be served
    */
-  record WeightsNamed(String model, long version) implements OperatorRecord {}
+  record TargetVersionSet(String model, long version) implements OperatorRecord {}
 }
--- a/gateway/src/main/java/org/lockdale/gateway/life/LivenessEvidence.java
+++ b/gateway/src/main/java/org/lockdale/gateway/life/LivenessEvidence.java
@@ -50,7 +50,7 @@
 
   /** Updates how current the records are; to be called a few times a second, by one thread. */
   public void observe() {
-    long currentAt = backends.get().trueAtMillis();
+    long currentAt = backends.get().asOfMillis();
     if (currentAt - lastCurrentAtMillis > GAP_MILLIS) {
       currentSinceMillis = currentAt;
     }
@@ -67,7 +67,7 @@
    * @param connectedAtMillis monotonic time at which its connection was established
    * @param sentAtMillis monotonic time at which the attempt was sent
    */
-  public void answered(TrackedBackend target, long connectedAtMillis, long sentAtMillis) {
+  public void recordResponse(TrackedBackend target, long connectedAtMillis, long sentAtMillis) {
     if (connectedAtMillis <= aliveByRecordAtMillis && hasRecord(target)) {
       target.recordAlive(sentAtMillis);
     }
--- a/gateway/src/main/java/org/lockdale/gateway/node/BackendController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/BackendController.java
@@ -188,7 +188,7 @@
     blackboard.backends().publish(after, provenAtMillis);
     for (TrackedBackend removed : before.all()) {
       if (after.find(removed.backend().id()) == null) {
-        client.forget(removed.backend().address());
+        client.closeIdleConnections(removed.backend().address());
         markEndedIfReplaced(removed, after);
       }
     }
--- a/gateway/src/main/java/org/lockdale/gateway/node/GatewayNode.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/GatewayNode.java
@@ -132,7 +132,7 @@
     callers = callers(listener);
     readiness =
         server(
-            GatewaySettings.READINESS_ADDRESS, new ReadinessHandler(blackboard, callers::hasRoom));
+            GatewaySettings.READINESS_ADDRESS, new ReadinessHandler(blackboard, callers::hasSpareConnections));
   }
 
   /**
--- a/gateway/src/main/java/org/lockdale/gateway/node/OperatorController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/OperatorController.java
@@ -86,7 +86,7 @@
     for (OperatorRecord each : records) {
       if (each instanceof OperatorRecord.Configured configured) {
         newest = newerOf(newest, configured.configuration());
-      } else if (each instanceof OperatorRecord.WeightsNamed target) {
+      } else if (each instanceof OperatorRecord.TargetVersionSet target) {
         weights.merge(target.model(), target.version(), Math::max);
       }
     }
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashDetector.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashDetector.java
@@ -132,8 +132,8 @@
     if (present == null || present.backend().id().equals(attempt.backend())) {
       return attempt;
     }
-    boolean startedLater = closed != null && nowMillis - attempt.answerMillis() > closed;
-    boolean respondedThere = startedLater && attempt.answerMillis() != 0;
+    boolean startedLater = closed != null && nowMillis - attempt.responseMillis() > closed;
+    boolean respondedThere = startedLater && attempt.responseMillis() != 0;
     long connectedAtWallMillis = wallMillis - (nowMillis - attempt.connectedAtMillis());
     return respondedThere || isStartedBefore(present.backend(), connectedAtWallMillis)
         ? reassign(present.backend(), attempt)
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/LostAttempt.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/LostAttempt.java
@@ -11,7 +11,7 @@
  * @param address address of the backend
  * @param request the request
  * @param caller name of the tenant, or the key where there is none
- * @param answerMillis time in milliseconds for which its response had been arriving; 0 if it had
+ * @param responseMillis time in milliseconds for which its response had been arriving; 0 if it had
  *     not started
  * @param loss how it ended
  * @param connectedAtMillis monotonic time at which the connection that carried it was established
@@ -21,7 +21,7 @@
     InetSocketAddress address,
     CallerRequest request,
     String caller,
-    long answerMillis,
+    long responseMillis,
     Loss loss,
     long connectedAtMillis) {
 
@@ -59,7 +59,7 @@
 
   private LostAttempt on(String incarnation, Loss newLoss) {
     return new LostAttempt(
-        incarnation, address, request, caller, answerMillis, newLoss, connectedAtMillis);
+        incarnation, address, request, caller, responseMillis, newLoss, connectedAtMillis);
   }
 
   /**
@@ -67,7 +67,7 @@
    * connected.
    */
   LostAttempt onIntendedIncarnation() {
-    return new LostAttempt(backend, address, request, caller, answerMillis, loss, NEVER);
+    return new LostAttempt(backend, address, request, caller, responseMillis, loss, NEVER);
   }
 
   /** Returns whether its connection was closed by the backend's side. */
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/Quarantine.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/Quarantine.java
@@ -237,8 +237,8 @@
         lost.backend(),
         lost.request().id(),
         fingerprint,
-        lost.answerMillis());
-    boolean early = lost.answerMillis() <= SuspectLedger.EARLY_MILLIS;
+        lost.responseMillis());
+    boolean early = lost.responseMillis() <= SuspectLedger.EARLY_MILLIS;
     int sketch = RequestFingerprint.sketchOf(lost.request(), lost.caller());
     Map<String, CrashInvolvement> crashes =
         Map.of(lost.backend(), new CrashInvolvement(early, false));
--- a/gateway/src/main/java/org/lockdale/gateway/rate/BackendRates.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/BackendRates.java
@@ -89,7 +89,7 @@
    * @param rate rate limit in the response
    * @param sentAtMillis monotonic time at which the request was sent
    */
-  public void recordAnswer(String backend, AdvertisedRate rate, long sentAtMillis) {
+  public void recordResponse(String backend, AdvertisedRate rate, long sentAtMillis) {
     if (!anyKnown && rate instanceof AdvertisedRate.None) {
       return;
     }
--- a/gateway/src/main/java/org/lockdale/gateway/request/Attempt.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/Attempt.java
@@ -225,8 +225,8 @@
       target.observeWeights(model, received.weights());
     }
     if (!received.misdirected()) {
-      liveness.answered(target, connectedAtMillis(), sentAtMonotonicMillis);
-      rates.recordAnswer(target.backend().id(), received.advertisedRate(), sentAtMonotonicMillis);
+      liveness.recordResponse(target, connectedAtMillis(), sentAtMonotonicMillis);
+      rates.recordResponse(target.backend().id(), received.advertisedRate(), sentAtMonotonicMillis);
       announcements.process(target, received);
     }
     if (received.misdirected()) {
@@ -269,7 +269,7 @@
   private void forwardPart(StreamForwarder stream, ByteBuf content) {
     try {
       stream.accept(content);
-      if (stream.hasStarted() && share.begin()) {
+      if (stream.hasStarted() && share.recordStart()) {
         startedAtMillis = lastReceivedAtMillis;
         onFirstEvent.run();
       }
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestExecution.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestExecution.java
@@ -224,7 +224,7 @@
     reporter.onLost(attempt, LostAttempt.Loss.SILENT);
     removeFromQueue(false);
     attempt.target().health().failed(path.nowMillis());
-    path.client().forget(attempt.target().backend().address());
+    path.client().closeIdleConnections(attempt.target().backend().address());
     path.report(attempt.target(), AttemptResult.FAILED);
     state.possibleRuns++;
     attempt();
--- a/gateway/src/main/java/org/lockdale/gateway/weights/EngineUpdate.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/EngineUpdate.java
@@ -199,7 +199,7 @@
       return;
     }
     LoadOrder order =
-        new LoadOrder(move.model(), move.version(), nodeId, lease.fence(), state.orderCount());
+        new LoadOrder(move.model(), move.version(), nodeId, lease.fencingToken(), state.orderCount());
     dependencies
         .control()
         .load(move.engine().backend(), order)
@@ -221,7 +221,7 @@
       }
       case CONFLICT, UNKNOWN -> checkAfter(CHECK_MILLIS);
       case FENCED -> {
-        lease.lost();
+        lease.relinquish();
         done.complete(false);
       }
       default -> done.complete(false);
--- a/gateway/src/main/java/org/lockdale/gateway/weights/RolloutController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/RolloutController.java
@@ -202,7 +202,7 @@
         .read()
         .thenComposeAsync(
             reading -> {
-              lease.observed(reading, now);
+              lease.recordRead(reading, now);
               return claimAfter(reading);
             },
             eventLoop)
@@ -222,7 +222,7 @@
         .thenAcceptAsync(
             written -> {
               boolean held = lease.mayAct(requestedAt);
-              lease.written(written, requestedAt);
+              lease.recordWrite(written, requestedAt);
               nextLeaseCallMillis = requestedAt + RENEWAL_MILLIS;
               if (!held) {
                 Logger.info("event=lease-taken lease=weights fence={}", written.version());
--- a/gateway/src/test/java/org/lockdale/gateway/backend/BackendRestTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/backend/BackendBackoffTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.Test;
 
 /** Checks the backoff that a backend requests from this node. */
-public final class BackendRestTest {
+public final class BackendBackoffTest {
 
   private BackendBackoff backoff;
 
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/FleetPlacementTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/FleetPlacementTest.java
@@ -155,7 +155,7 @@
         return;
       }
       running.merge(engine, 1, Integer::sum);
-      share.begin();
+      share.recordStart();
       changed(sender, engine);
       time.schedule(
           runMicros,
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/NodeReporterTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/NodeReporterTest.java
@@ -133,7 +133,7 @@
     BackendLoad.Share share = senderLoad().open(5_000, 8_000);
     sender.workChanged();
     await(() -> relayLoads.at("i-1").equals(new BackendWork(5_000, 0, 1)));
-    share.begin();
+    share.recordStart();
     sender.workChanged();
     await(() -> relayLoads.at("i-1").equals(new BackendWork(0, 8_000, 1)));
     share.end();
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/RateSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/RateSimulation.java
@@ -326,7 +326,7 @@
         if (backend.id().equals(target)) {
           backend.onResponseReceived(id, rate, time.monotonicMillis());
         }
-        rates.recordAnswer(target, rate, sentAt);
+        rates.recordResponse(target, rate, sentAt);
       }
     }
   }
--- a/gateway/src/test/java/org/lockdale/gateway/drain/LeavingsTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/drain/DrainingBackendsTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.Test;
 
 /** Checks that the announcement of draining holds for the rest of the incarnation. */
-public final class LeavingsTest {
+public final class DrainingBackendsTest {
 
   private static final InetSocketAddress ADDRESS =
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
--- a/gateway/src/test/java/org/lockdale/gateway/life/LivenessEvidenceTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/LivenessEvidenceTest.java
@@ -47,7 +47,7 @@
   }
 
   private boolean isShownByResponse(long connectedAtMillis, long sentAtMillis) {
-    evidence.answered(target, connectedAtMillis, sentAtMillis);
+    evidence.recordResponse(target, connectedAtMillis, sentAtMillis);
     return target.lastKnownAliveMillis() == sentAtMillis;
   }
 
--- a/gateway/src/test/java/org/lockdale/gateway/limit/TenantBucketsTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/TenantBucketsTest.java
@@ -127,7 +127,7 @@
   }
 
   @Test
-  public void aReserveThatMayHaveServedElsewhereHasToRest() {
+  public void aReserveThatMayHaveBeenUsedElsewhereIsNotReusedInTheSameWindow() {
     TenantBuckets buckets = buckets();
     buckets.reserveLent("a", 1.0, 5_000, 0);
     buckets.reserveLent("a", 1.0, 2 * REUSE, 4_000);
@@ -161,7 +161,7 @@
    * Guards against buckets that gain, or loans that do not end, during a suspension of the machine.
    */
   @Test
-  public void aSuspensionBringsNoLevelAndEndsLoans() {
+  public void aSuspensionAddsNoLevelAndEndsLoans() {
     TenantBuckets buckets = buckets();
     buckets.lent("a", 0.25, FOREVER, 0);
     buckets.lent("b", 0.25, 4_000, 0);
--- a/gateway/src/test/java/org/lockdale/gateway/node/OperatorControllerTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/node/OperatorControllerTest.java
@@ -49,7 +49,7 @@
     @Override
     public Optional<OperatorRecord> operatorRecord(TableRowChange row) {
       long version = Long.parseLong(new String(row.value(), StandardCharsets.UTF_8));
-      return Optional.of(new OperatorRecord.WeightsNamed(row.key(), version));
+      return Optional.of(new OperatorRecord.TargetVersionSet(row.key(), version));
     }
 
     @Override
--- a/gateway/src/test/java/org/lockdale/gateway/node/SuspensionTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/node/SuspensionTest.java
@@ -67,7 +67,7 @@
     Lease lease = new Lease("self", 1_500, 3_000);
     long now = time.monotonicMillis();
     LeaseRow row = new LeaseRow("self", STORE_AHEAD_MILLIS + 1_500);
-    lease.written(new LeaseReading(row, 1, STORE_AHEAD_MILLIS), now);
+    lease.recordWrite(new LeaseReading(row, 1, STORE_AHEAD_MILLIS), now);
     assertTrue(lease.mayAct(now));
     assertFalse(lease.mayAct(wake()));
   }
--- a/gateway/src/test/java/org/lockdale/gateway/placement/BackendChooserTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/placement/BackendChooserTest.java
@@ -328,7 +328,7 @@
       assertTrue(
           chosen.load().openRequests() < chosen.backend().slots(),
           "request " + request + " waits while there are free slots");
-      chosen.load().open(0, 400).begin();
+      chosen.load().open(0, 400).recordStart();
     }
   }
 
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulation.java
@@ -443,7 +443,7 @@
       Optional.ofNullable(servers.find(run.assumed))
           .ifPresent(
               tracked ->
-                  livenessEvidence.answered(tracked, run.connectedAtMillis, run.startedAtMillis));
+                  livenessEvidence.recordResponse(tracked, run.connectedAtMillis, run.startedAtMillis));
     }
 
     void readServers() {
--- a/gateway/src/test/java/org/lockdale/gateway/weights/EngineUpdateTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/weights/EngineUpdateTest.java
@@ -88,7 +88,7 @@
 
   private CompletableFuture<Boolean> start() {
     Lease lease = new Lease("node", LEASE_MILLIS, 0);
-    lease.written(new LeaseReading(new LeaseRow("node", LEASE_MILLIS), 1, 0), 0);
+    lease.recordWrite(new LeaseReading(new LeaseRow("node", LEASE_MILLIS), 1, 0), 0);
     RolloutDependencies dependencies =
         new RolloutDependencies(
             control,
@@ -160,7 +160,7 @@
       step();
     }
     assertFalse(control.ordered);
-    share.begin();
+    share.recordStart();
     while (nowMillis < 330) {
       step();
     }
--- a/http/src/main/java/org/lockdale/http/HttpClient.java
+++ b/http/src/main/java/org/lockdale/http/HttpClient.java
@@ -207,7 +207,7 @@
   }
 
   /** Closes the idle connections to a peer. */
-  public void forget(InetSocketAddress address) {
+  public void closeIdleConnections(InetSocketAddress address) {
     pool.closeIdleConnections(address);
   }
 
--- a/http/src/main/java/org/lockdale/http/HttpServer.java
+++ b/http/src/main/java/org/lockdale/http/HttpServer.java
@@ -140,7 +140,7 @@
   }
 
   /** Returns whether connections are accepted and more than the reserve is left of the limit. */
-  public boolean hasRoom() {
+  public boolean hasSpareConnections() {
     int limit = settings.maxConnections();
     return listener.isOpen() && connections.size() < limit - limit / RESERVE_DIVISOR;
   }
--- a/http/src/test/java/org/lockdale/http/HttpClientTest.java
+++ b/http/src/test/java/org/lockdale/http/HttpClientTest.java
@@ -227,7 +227,7 @@
     for (int call = 0; call < 20; call++) {
       assertEquals(sendOnceASlotIsFree(client, group.next()), 200);
       if (call % 3 == 0) {
-        client.forget(server.address());
+        client.closeIdleConnections(server.address());
       }
     }
   }
--- a/openai/src/main/java/org/lockdale/openai/CompletionJson.java
+++ b/openai/src/main/java/org/lockdale/openai/CompletionJson.java
@@ -57,7 +57,7 @@
   }
 
   /** Returns a complete, non-streamed response with the token usage. */
-  public byte[] whole(String text, int promptTokens, int cachedTokens, int completionTokens) {
+  public byte[] completion(String text, int promptTokens, int cachedTokens, int completionTokens) {
     ObjectNode root =
         head(kind == CompletionRequest.Kind.CHAT ? "chat.completion" : "text_completion");
     ObjectNode choice = root.putArray("choices").addObject().put("index", 0);
--- a/protocol/src/main/java/org/lockdale/protocol/MessageCodec.java
+++ b/protocol/src/main/java/org/lockdale/protocol/MessageCodec.java
@@ -83,7 +83,7 @@
   }
 
   /** Returns a codec of the target versions of weights in the table service. */
-  public static MessageCodec<NamedWeightsRecord> namedWeights() {
+  public static MessageCodec<NamedWeightsRecord> targetVersions() {
     return of(0x57EF1CA75E9A5A1BL, NamedWeightsRecord::readFrom);
   }
 
@@ -167,7 +167,7 @@
   }
 
   /** Returns whether a message was written with the current schema, by its fingerprint. */
-  public boolean wrote(byte[] bytes) {
+  public boolean matchesSchema(byte[] bytes) {
     return bytes.length >= FINGERPRINT_BYTES && readFingerprint(bytes) == fingerprint;
   }
 
--- a/protocol/src/test/java/org/lockdale/protocol/MessageCodecTest.java
+++ b/protocol/src/test/java/org/lockdale/protocol/MessageCodecTest.java
@@ -128,7 +128,7 @@
             Map.entry(MessageCodec.claims(), ClaimRecord.getClassSchema()),
             Map.entry(MessageCodec.leases(), LeaseRecord.getClassSchema()),
             Map.entry(MessageCodec.nodes(), NodeRecord.getClassSchema()),
-            Map.entry(MessageCodec.namedWeights(), NamedWeightsRecord.getClassSchema()),
+            Map.entry(MessageCodec.targetVersions(), NamedWeightsRecord.getClassSchema()),
             Map.entry(MessageCodec.nodeDatagrams(), NodeDatagram.getClassSchema()),
             Map.entry(MessageCodec.nodeNotices(), NodeNotice.getClassSchema()),
             Map.entry(MessageCodec.rateDatagrams(), RateDatagram.getClassSchema()),
@@ -158,9 +158,9 @@
             .encode(new NodeNotice("node", new LifeOverNotice(List.of("i-1@2"))));
     byte[] datagram =
         MessageCodec.nodeDatagrams().encode(new NodeDatagram("node", new SuspectReport(List.of())));
-    assertTrue(MessageCodec.nodeNotices().wrote(notice));
-    assertFalse(MessageCodec.nodeNotices().wrote(datagram));
-    assertFalse(MessageCodec.nodeNotices().wrote(new byte[3]));
+    assertTrue(MessageCodec.nodeNotices().matchesSchema(notice));
+    assertFalse(MessageCodec.nodeNotices().matchesSchema(datagram));
+    assertFalse(MessageCodec.nodeNotices().matchesSchema(new byte[3]));
     assertThrows(MessageFormatException.class, () -> MessageCodec.nodeDatagrams().decode(notice));
     assertEquals(
         ((LifeOverNotice) MessageCodec.nodeNotices().decode(notice).getBody()).getEngines(),
@@ -176,8 +176,8 @@
     byte[] drain =
         MessageCodec.drainDatagrams()
             .encode(new DrainDatagram("node", new LeavingNotice(List.of("i-1@2"))));
-    assertTrue(MessageCodec.drainDatagrams().wrote(drain));
-    assertFalse(MessageCodec.nodeNotices().wrote(drain));
+    assertTrue(MessageCodec.drainDatagrams().matchesSchema(drain));
+    assertFalse(MessageCodec.nodeNotices().matchesSchema(drain));
     assertThrows(MessageFormatException.class, () -> MessageCodec.nodeDatagrams().decode(drain));
     assertEquals(
         ((LeavingNotice) MessageCodec.drainDatagrams().decode(drain).getBody()).getEngines(),
--- a/router/src/main/java/org/lockdale/router/controller/CoordinationController.java
+++ b/router/src/main/java/org/lockdale/router/controller/CoordinationController.java
@@ -150,7 +150,7 @@
 
   private void snapshotIfDue() {
     ConfigurationState state = node.configuration();
-    if (ConfigurationHistory.wantsSnapshot(state.version())) {
+    if (ConfigurationHistory.isSnapshotDue(state.version())) {
       history
           .writeSnapshot(state)
           .exceptionally(
--- a/router/src/main/java/org/lockdale/router/controller/EngineRecord.java
+++ b/router/src/main/java/org/lockdale/router/controller/EngineRecord.java
@@ -78,7 +78,7 @@
   void updateReport(EngineReport newReport, long nowMillis) {
     report = newReport;
     load = newReport.toLoad(nowMillis);
-    activity.reported();
+    activity.resetSinceReport();
     activity.recordSuccess();
   }
 
--- a/router/src/main/java/org/lockdale/router/engine/EngineActivity.java
+++ b/router/src/main/java/org/lockdale/router/engine/EngineActivity.java
@@ -19,19 +19,19 @@
   private final AtomicLong avoidUntilMillis = new AtomicLong(Long.MIN_VALUE);
 
   /** Counts a request that is about to be sent. */
-  public void sent(long uncachedPromptTokens) {
+  public void recordSend(long uncachedPromptTokens) {
     inFlight.incrementAndGet();
     sentSinceReport.incrementAndGet();
     tokensSinceReport.addAndGet(uncachedPromptTokens);
   }
 
   /** Counts a request as ended. */
-  public void ended() {
+  public void recordEnd() {
     inFlight.decrementAndGet();
   }
 
   /** Resets the counts of requests and tokens that a new load report already contains. */
-  public void reported() {
+  public void resetSinceReport() {
     sentSinceReport.set(0);
     tokensSinceReport.set(0);
   }
--- a/router/src/main/java/org/lockdale/router/operator/Explainer.java
+++ b/router/src/main/java/org/lockdale/router/operator/Explainer.java
@@ -99,7 +99,7 @@
         Locale.ROOT,
         "least expected time to first token: %.1f ms, %d prompt tokens estimated to be cached",
         placement.expectedMillis(),
-        placement.believedCachedTokens());
+        placement.estimatedCachedTokens());
   }
 
   private static PlacementRequest placementOf(
--- a/router/src/main/java/org/lockdale/router/placement/PrefixIndex.java
+++ b/router/src/main/java/org/lockdale/router/placement/PrefixIndex.java
@@ -46,7 +46,7 @@
   }
 
   /** Records that an engine holds all blocks of a chain, as it does after a prefill. */
-  public void stored(PrefixChain chain, long engineIdentity, long nowMillis) {
+  public void recordStored(PrefixChain chain, long engineIdentity, long nowMillis) {
     for (int depth = 1; depth <= chain.length(); depth++) {
       if (isAnchor(depth)) {
         long hash = chain.hashAt(depth - 1);
--- a/router/src/main/java/org/lockdale/router/request/DispatchStep.java
+++ b/router/src/main/java/org/lockdale/router/request/DispatchStep.java
@@ -26,7 +26,7 @@
   CompletableFuture<AttemptResult> dispatch(RequestContext context, ResponseSink sink) {
     EngineActivity activity = context.placement.engine().activity();
     if (context.callerDisconnected && !context.isRunOnce()) {
-      activity.ended();
+      activity.recordEnd();
       return CompletableFuture.completedFuture(
           new AttemptResult.NotStarted("the caller disconnected before the request was sent"));
     }
@@ -52,7 +52,7 @@
     return result.whenComplete(
         (attemptResult, failure) -> {
           deadline.cancel(false);
-          activity.ended();
+          activity.recordEnd();
           recordResult(context, activity, attemptResult);
         });
   }
@@ -62,7 +62,7 @@
     long now = time.monotonicMillis();
     if (attemptResult instanceof AttemptResult.Complete) {
       activity.recordSuccess();
-      prefixes.stored(context.chain, context.placement.engine().identity(), now);
+      prefixes.recordStored(context.chain, context.placement.engine().identity(), now);
     } else if (!(attemptResult instanceof AttemptResult.Cancelled)) {
       activity.recordFailure(now);
     }
--- a/router/src/main/java/org/lockdale/router/request/RequestPath.java
+++ b/router/src/main/java/org/lockdale/router/request/RequestPath.java
@@ -128,7 +128,7 @@
     return claimed.whenComplete(
         (next, failure) -> {
           if (failure != null || next == Next.ANSWERED) {
-            context.placement.engine().activity().ended();
+            context.placement.engine().activity().recordEnd();
           }
         });
   }
--- a/router/src/test/java/org/lockdale/router/placement/EngineChooserTest.java
+++ b/router/src/test/java/org/lockdale/router/placement/EngineChooserTest.java
@@ -161,7 +161,7 @@
     Set<String> used = new HashSet<>();
     for (int sent = 0; sent < 12; sent++) {
       String id = choose(hot, emptyIndex(), engines);
-      engines.find(id).orElseThrow().activity().sent(64);
+      engines.find(id).orElseThrow().activity().recordSend(64);
       used.add(id);
     }
     assertTrue(used.size() >= 2, used.toString());
@@ -172,7 +172,7 @@
   public void indexIsBoundedAndEntriesExpire() {
     PrefixIndex index = new PrefixIndex(160, 1_000);
     for (int shared = 0; shared < 200; shared++) {
-      index.stored(chain(shared, 1), 7, 0);
+      index.recordStored(chain(shared, 1), 7, 0);
     }
     assertTrue(index.size() <= 160, String.valueOf(index.size()));
     PrefixChain last = chain(199, 1);
--- a/settings/src/main/java/org/lockdale/settings/Trees.java
+++ b/settings/src/main/java/org/lockdale/settings/JsonTrees.java
@@ -16,11 +16,11 @@
  * initializes the support of dates, annotations and classes, which takes 50 of the 440 ms of
  * processor time of the start of a node.
  */
-public final class Trees {
+public final class JsonTrees {
 
   private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
-  private Trees() {}
+  private JsonTrees() {}
 
   /**
    * Reads a complete value.
--- a/settings/src/main/java/org/lockdale/settings/SettingsLoader.java
+++ b/settings/src/main/java/org/lockdale/settings/SettingsLoader.java
@@ -51,7 +51,7 @@
 
   private void readFile(Path file) {
     try (JsonParser parser = new YAMLFactory().createParser(Files.readString(file))) {
-      JsonNode root = Trees.read(parser);
+      JsonNode root = JsonTrees.read(parser);
       if (!root.isObject()) {
         problems.add(file + ": write one 'key: value' a line.");
         return;
--- a/settings/src/test/java/org/lockdale/settings/TreesTest.java
+++ b/settings/src/test/java/org/lockdale/settings/TreesTest.java
@@ -33,7 +33,7 @@
 
   private static JsonNode read(String text) throws IOException {
     try (JsonParser parser = JSON.createParser(text)) {
-      return Trees.read(parser);
+      return JsonTrees.read(parser);
     }
   }
 
@@ -43,7 +43,7 @@
     assertEquals(value, new ObjectMapper().readTree(text));
     StringWriter written = new StringWriter();
     try (JsonGenerator out = JSON.createGenerator(written)) {
-      Trees.write(value, out);
+      JsonTrees.write(value, out);
     }
     assertEquals(written.toString(), new ObjectMapper().writeValueAsString(value));
   }
--- a/soak/src/main/java/org/lockdale/soak/judge/AnnouncementRules.java
+++ b/soak/src/main/java/org/lockdale/soak/judge/AnnouncementRules.java
@@ -114,7 +114,7 @@
   }
 
   private static boolean isCurrentBuild(History history, String node, long from, long until) {
-    return history.isUndisrupted(History.former(node), from, until);
+    return history.isUndisrupted(History.previousBuild(node), from, until);
   }
 
   private static Map<String, List<Arrival>> arrivals(History history) {
--- a/soak/src/main/java/org/lockdale/soak/judge/ConfigurationFacts.java
+++ b/soak/src/main/java/org/lockdale/soak/judge/ConfigurationFacts.java
@@ -37,11 +37,11 @@
   /** Returns whether a service may run a request for a path that carries a key; null for none. */
   public boolean allows(String path, @Nullable String key, String service) {
     RouteFacts route = route(path);
-    return route != null && route.service().equals(service) && knows(key);
+    return route != null && route.service().equals(service) && acceptsKey(key);
   }
 
   /** Returns whether a key, or null for none, is accepted; without tenants any request is. */
-  public boolean knows(@Nullable String key) {
+  public boolean acceptsKey(@Nullable String key) {
     return tenants.isEmpty() || key != null && tenants.containsKey(key);
   }
 }
--- a/soak/src/main/java/org/lockdale/soak/judge/ConfigurationRules.java
+++ b/soak/src/main/java/org/lockdale/soak/judge/ConfigurationRules.java
@@ -56,7 +56,7 @@
               effect.sentMillis() - history.bounds().applyMillis() - 1);
       boolean applies =
           history.isStable(effect.node(), effect.sentMillis(), effect.seenMillis())
-              && history.isStable(History.CORE, effect.sentMillis(), effect.seenMillis());
+              && history.isStable(History.STORE, effect.sentMillis(), effect.seenMillis());
       if (effect.newest() < dueVersion && applies) {
         violations.add(
             new RuleBreak(
@@ -163,7 +163,7 @@
   private static Predicate<ConfigurationFacts> denying(Note.Sent sent, Note.Answered response) {
     return configuration ->
         response.status() == UNAUTHORIZED
-            ? !configuration.knows(sent.key())
+            ? !configuration.acceptsKey(sent.key())
             : configuration.route(sent.facts().path()) == null;
   }
 
--- a/soak/src/main/java/org/lockdale/soak/judge/CrashRules.java
+++ b/soak/src/main/java/org/lockdale/soak/judge/CrashRules.java
@@ -62,7 +62,7 @@
           crashedMillis != null
               && claim.atMillis() > crashedMillis + CLOCK_TOLERANCE_MILLIS
               && history.isUndisrupted(
-                  History.former(claim.node()), claim.atMillis(), claim.atMillis());
+                  History.previousBuild(claim.node()), claim.atMillis(), claim.atMillis());
       if (late) {
         long after = claim.atMillis() - crashedMillis;
         violations.add(
@@ -135,6 +135,6 @@
   }
 
   private static boolean isBound(History history, String node, long at) {
-    return history.isStable(node, at, at) && history.isStable(History.CORE, at, at);
+    return history.isStable(node, at, at) && history.isStable(History.STORE, at, at);
   }
 }
--- a/soak/src/main/java/org/lockdale/soak/judge/Disruptions.java
+++ b/soak/src/main/java/org/lockdale/soak/judge/Disruptions.java
@@ -13,7 +13,7 @@
     }
 
     boolean affects(String machine) {
-      return subject.equals(machine) || subject.equals(History.EVERYTHING);
+      return subject.equals(machine) || subject.equals(History.HOST);
     }
   }
 
@@ -52,7 +52,7 @@
    */
   long lastDisruptionEndMillis(long moment) {
     return spans.values().stream()
-        .filter(span -> span.onLink() || span.affects(History.CORE))
+        .filter(span -> span.onLink() || span.affects(History.STORE))
         .filter(span -> span.from() <= moment)
         .mapToLong(span -> Math.min(span.until(), moment))
         .max()
--- a/soak/src/main/java/org/lockdale/soak/judge/History.java
+++ b/soak/src/main/java/org/lockdale/soak/judge/History.java
@@ -14,10 +14,10 @@
 public final class History {
 
   /** Subject of a disruption of the store. */
-  public static final String CORE = "store";
+  public static final String STORE = "store";
 
   /** Subject of a disruption of the whole host that the soak runs on. */
-  public static final String EVERYTHING = "*";
+  public static final String HOST = "*";
 
   /** Subject of a time in which the soak's proxy was not scheduled. */
   public static final String PROXY = "proxy";
@@ -229,17 +229,17 @@
   }
 
   /** Returns the subject of a time in which the soak's proxy delayed connections of a link. */
-  public static String linkHeldUp(String source, String destination) {
+  public static String delayedLink(String source, String destination) {
     return source + ">" + destination;
   }
 
   /** Returns the subject of the time in which a node runs the previous build. */
-  public static String former(String node) {
+  public static String previousBuild(String node) {
     return "former " + node;
   }
 
   /** Returns the subject of a time in which a server's process was not scheduled. */
-  public static String stalled(String server) {
+  public static String stalledServer(String server) {
     return "stalled " + processOf(server);
   }
 
@@ -252,8 +252,8 @@
   /** Returns whether the soak itself delayed nothing between a node and a server within a span. */
   boolean isForwardedInTime(String node, String server, long from, long until) {
     return isUndisrupted(PROXY, from, until)
-        && isUndisrupted(linkHeldUp(node, processOf(server)), from, until)
-        && isUndisrupted(stalled(server), from, until);
+        && isUndisrupted(delayedLink(node, processOf(server)), from, until)
+        && isUndisrupted(stalledServer(server), from, until);
   }
 
   /** Returns whether a machine was not disrupted within a span, both ends included. */
--- a/soak/src/main/java/org/lockdale/soak/judge/LoadRules.java
+++ b/soak/src/main/java/org/lockdale/soak/judge/LoadRules.java
@@ -34,7 +34,7 @@
             && drainMillis != Long.MAX_VALUE
             && arrived.atMillis() - drainMillis > history.bounds().drainMillis()
             && history.isStable(sent.node(), arrived.atMillis(), arrived.atMillis())
-            && history.isStable(History.CORE, drainMillis, arrived.atMillis())) {
+            && history.isStable(History.STORE, drainMillis, arrived.atMillis())) {
           violations.add(
               new RuleBreak(
                   "DRAIN",
--- a/soak/src/main/java/org/lockdale/soak/judge/Note.java
+++ b/soak/src/main/java/org/lockdale/soak/judge/Note.java
@@ -159,7 +159,7 @@
   /**
    * A disruption started.
    *
-   * @param subject machine, {@link History#CORE}, {@link History#EVERYTHING}, or another subject
+   * @param subject machine, {@link History#STORE}, {@link History#HOST}, or another subject
    *     that {@link History} defines
    * @param onLink whether it affects links and stops no process
    */
--- a/soak/src/main/java/org/lockdale/soak/judge/RateRules.java
+++ b/soak/src/main/java/org/lockdale/soak/judge/RateRules.java
@@ -147,7 +147,7 @@
    * previous build cannot apply it.
    */
   private static boolean isBound(History history, Arrival arrival, long until) {
-    return history.isUndisrupted(History.former(arrival.node()), arrival.atMillis(), until)
+    return history.isUndisrupted(History.previousBuild(arrival.node()), arrival.atMillis(), until)
         && history.isStable(arrival.node(), arrival.atMillis(), until);
   }
 
--- a/soak/src/main/java/org/lockdale/soak/judge/Judge.java
+++ b/soak/src/main/java/org/lockdale/soak/judge/RuleChecker.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** Checks a history against all rules. */
-public final class Judge {
+public final class RuleChecker {
 
   private static final List<Rule> RULES =
       List.of(
@@ -33,10 +33,10 @@
           AnnouncementRules::backoffRequests,
           LeaseRules::singleHolder);
 
-  private Judge() {}
+  private RuleChecker() {}
 
   /** Returns all rule violations of a history. */
-  public static List<RuleBreak> breaks(History history) {
+  public static List<RuleBreak> check(History history) {
     return RULES.stream().flatMap(rule -> rule.check(history).stream()).toList();
   }
 }
--- a/soak/src/main/java/org/lockdale/soak/link/LinkProxy.java
+++ b/soak/src/main/java/org/lockdale/soak/link/LinkProxy.java
@@ -34,7 +34,7 @@
 import org.lockdale.soak.judge.History;
 import org.lockdale.soak.plan.Deployment;
 import org.lockdale.soak.plan.Fault.LinkTrouble;
-import org.lockdale.soak.standin.StallWatch;
+import org.lockdale.soak.standin.StallDetector;
 import org.lockdale.soak.standin.StandardStreams;
 
 /** Forwards connections and datagrams between processes and injects faults into their links. */
@@ -58,7 +58,7 @@
      * @param what subject of the disruption, as {@link History} defines it
      * @param sinceMillis start of the delay, on the host's monotonic clock
      */
-    void onHeldUp(String what, long sinceMillis);
+    void onDelay(String what, long sinceMillis);
   }
 
   private final EventLoopGroup group =
@@ -90,8 +90,8 @@
   /** Reports a delay if the event loop, which forwards all bytes, was not scheduled in time. */
   private void checkEventLoopDelay() {
     long now = StandardStreams.nowMillis();
-    if (now - lastCheckMillis > CHECK_INTERVAL_MILLIS + StallWatch.STALL_MILLIS) {
-      delayListener.onHeldUp(History.PROXY, lastCheckMillis);
+    if (now - lastCheckMillis > CHECK_INTERVAL_MILLIS + StallDetector.STALL_THRESHOLD_MILLIS) {
+      delayListener.onDelay(History.PROXY, lastCheckMillis);
     }
     lastCheckMillis = now;
   }
@@ -170,7 +170,7 @@
    * @param source process that connects
    * @param destination process that listens, or {@link Deployment#ANY}
    */
-  public void harm(String source, String destination, LinkTrouble trouble) {
+  public void inject(String source, String destination, LinkTrouble trouble) {
     forEachLink(
         source,
         destination,
@@ -186,7 +186,7 @@
   }
 
   /** Removes a fault; connections that were reset or silenced stay so. */
-  public void heal(String source, String destination, LinkTrouble trouble) {
+  public void remove(String source, String destination, LinkTrouble trouble) {
     forEachLink(
         source,
         destination,
@@ -254,8 +254,8 @@
 
     /** Reports a delay if looking up the owner took long, as on a busy machine. */
     private void reportLateConnection(String owner, long acceptedAtMillis) {
-      if (StandardStreams.nowMillis() - acceptedAtMillis > StallWatch.STALL_MILLIS) {
-        delayListener.onHeldUp(History.linkHeldUp(owner, destination), acceptedAtMillis);
+      if (StandardStreams.nowMillis() - acceptedAtMillis > StallDetector.STALL_THRESHOLD_MILLIS) {
+        delayListener.onDelay(History.delayedLink(owner, destination), acceptedAtMillis);
       }
     }
 
--- a/soak/src/main/java/org/lockdale/soak/plan/SaidByServers.java
+++ b/soak/src/main/java/org/lockdale/soak/plan/AnnouncementFaults.java
@@ -9,7 +9,7 @@
  * are drawn separately from all other faults, so that the other faults of a seed that has failed
  * before stay the same.
  */
-final class SaidByServers {
+final class AnnouncementFaults {
 
   /** Separates the random numbers of these faults from those of other faults of the same seed. */
   private static final long SEED_SALT = 0x8CB92BA72F3D8DD7L;
@@ -32,7 +32,7 @@
   /** One backoff fault in this many affects all engines. */
   private static final int WHOLE_SERVICE_ONE_IN = 4;
 
-  private SaidByServers() {}
+  private AnnouncementFaults() {}
 
   static List<PlannedFault> draw(
       long seed, long fromMillis, long untilMillis, Deployment deployment) {
--- a/soak/src/main/java/org/lockdale/soak/run/Caller.java
+++ b/soak/src/main/java/org/lockdale/soak/run/Caller.java
@@ -236,7 +236,7 @@
         abandon(plan);
         return;
       }
-      open.setPatience(plan.deadlineMillis());
+      open.setReadTimeout(plan.deadlineMillis());
       readResponse(open, plan);
     } catch (SocketTimeoutException late) {
       abandon(plan);
@@ -262,7 +262,7 @@
   }
 
   private void readResponse(RawCaller open, Plan plan) throws IOException {
-    RawCaller.Answer response = open.read();
+    RawCaller.Response response = open.read();
     if (response.status() == 0) {
       counts.failed.incrementAndGet();
       disconnect();
@@ -275,16 +275,16 @@
             response.status(),
             response.header(HeaderNames.SIGNATURE),
             response.body(),
-            response.whole()));
-    boolean served = response.status() == OK && response.whole();
+            response.complete()));
+    boolean served = response.status() == OK && response.complete();
     (served ? counts.served : counts.rejected).incrementAndGet();
-    if (!response.whole() || "close".equalsIgnoreCase(response.header("connection"))) {
+    if (!response.complete() || "close".equalsIgnoreCase(response.header("connection"))) {
       disconnect();
     }
   }
 
   private void recordSurplus(RawCaller open) throws IOException {
-    String unread = open.unread();
+    String unread = open.readAvailable();
     boolean errorResponse = unread.startsWith("HTTP/1.1 4") || unread.startsWith("HTTP/1.1 5");
     if (!unread.isEmpty() && !errorResponse) {
       notes.add(new Note.Surplus(StandardStreams.nowMillis(), node, unread));
--- a/soak/src/main/java/org/lockdale/soak/run/FaultInjector.java
+++ b/soak/src/main/java/org/lockdale/soak/run/FaultInjector.java
@@ -178,9 +178,9 @@
         disruptions.add(notes.recordDisruptionStart(end, true));
       }
     }
-    processes.proxy().harm(link.source(), link.destination(), link.trouble());
+    processes.proxy().inject(link.source(), link.destination(), link.trouble());
     Thread.sleep(durationMillis(link));
-    processes.proxy().heal(link.source(), link.destination(), link.trouble());
+    processes.proxy().remove(link.source(), link.destination(), link.trouble());
     disruptions.forEach(notes::recordDisruptionEnd);
   }
 
@@ -192,7 +192,7 @@
   }
 
   private void disruptStore(Fault.OnStore fault) throws IOException, InterruptedException {
-    long disruption = notes.recordDisruptionStart(History.CORE, false);
+    long disruption = notes.recordDisruptionStart(History.STORE, false);
     ManagedProcess store = processes.process(Deployment.STORE);
     StoreTrouble trouble = fault.trouble();
     if (trouble == StoreTrouble.FORGETFUL) {
--- a/soak/src/main/java/org/lockdale/soak/run/LoadBalancer.java
+++ b/soak/src/main/java/org/lockdale/soak/run/LoadBalancer.java
@@ -74,7 +74,7 @@
 
   private static boolean isReady(InetSocketAddress address) {
     try (RawCaller caller = new RawCaller(address, RESPONSE_TIMEOUT_MILLIS)) {
-      caller.setPatience(RESPONSE_TIMEOUT_MILLIS);
+      caller.setReadTimeout(RESPONSE_TIMEOUT_MILLIS);
       caller.send("GET /ready HTTP/1.1\r\nHost: node\r\n\r\n");
       return caller.read().status() == OK;
     } catch (IOException unreachable) {
--- a/soak/src/main/java/org/lockdale/soak/run/NoteLog.java
+++ b/soak/src/main/java/org/lockdale/soak/run/NoteLog.java
@@ -11,7 +11,7 @@
 import org.lockdale.soak.judge.Bounds;
 import org.lockdale.soak.judge.CrashCounts;
 import org.lockdale.soak.judge.History;
-import org.lockdale.soak.judge.Judge;
+import org.lockdale.soak.judge.RuleChecker;
 import org.lockdale.soak.judge.Note;
 import org.lockdale.soak.judge.RuleBreak;
 import org.lockdale.soak.standin.StandardStreams;
@@ -57,13 +57,13 @@
   }
 
   synchronized List<RuleBreak> findViolations() {
-    return Judge.breaks(history);
+    return RuleChecker.check(history);
   }
 
   /**
    * Records that a disruption starts now and returns its id.
    *
-   * @param subject process, {@link History#CORE} or {@link History#EVERYTHING}
+   * @param subject process, {@link History#STORE} or {@link History#HOST}
    * @param onLink whether it affects a link
    */
   long recordDisruptionStart(String subject, boolean onLink) {
@@ -85,7 +85,7 @@
    * as a disruption of everything, so that other load on the machine isn't attributed to a node.
    */
   void recordMachineStall(long sinceMillis) {
-    recordDisruptionEnd(recordDisruptionStartAt(sinceMillis, History.EVERYTHING, true));
+    recordDisruptionEnd(recordDisruptionStartAt(sinceMillis, History.HOST, true));
   }
 
   /** Records that the soak's proxy forwarded data late, a delay that no node can avoid. */
--- a/soak/src/main/java/org/lockdale/soak/run/Processes.java
+++ b/soak/src/main/java/org/lockdale/soak/run/Processes.java
@@ -121,7 +121,7 @@
     List<String> servers = new ArrayList<>(deployment.serverNames());
     servers.add(Deployment.CACHE_STORE);
     for (String server : servers) {
-      proxy.listen(null, server, Addresses.proxied(realAddress(server)), realAddress(server));
+      proxy.listen(null, server, Addresses.proxiedAddress(realAddress(server)), realAddress(server));
     }
   }
 
@@ -130,21 +130,21 @@
       proxy.listen(Deployment.CALLERS, node, proxiedAddress(node, port), realAddressAt(node, port));
     }
     InetSocketAddress peers = realAddressAt(node, Addresses.PEERS_PORT);
-    proxy.listen(null, node, Addresses.proxied(peers), peers);
-    proxy.listenForDatagrams(node, Addresses.proxied(peers), peers);
+    proxy.listen(null, node, Addresses.proxiedAddress(peers), peers);
+    proxy.listenForDatagrams(node, Addresses.proxiedAddress(peers), peers);
     proxy.listen(node, Deployment.STORE, storeAddressFor(node), realAddress(Deployment.STORE));
   }
 
   /** Returns the proxied address of the store that is used only by the given node. */
   private InetSocketAddress storeAddressFor(String node) {
     int number = deployment.nodeNames().indexOf(node) + 1;
-    return Addresses.proxied(addresses.real(STORE_LINKS_GROUP, number, Addresses.SERVICE_PORT));
+    return Addresses.proxiedAddress(addresses.realAddress(STORE_LINKS_GROUP, number, Addresses.SERVICE_PORT));
   }
 
   private void assignAddresses(List<String> names, int group) {
     int number = 0;
     for (String name : names) {
-      realAddresses.put(name, addresses.real(group, ++number, Addresses.SERVICE_PORT));
+      realAddresses.put(name, addresses.realAddress(group, ++number, Addresses.SERVICE_PORT));
     }
   }
 
@@ -158,7 +158,7 @@
 
   /** Returns the proxied address of a port of a process. */
   InetSocketAddress proxiedAddress(String name, int port) {
-    return Addresses.proxied(realAddressAt(name, port));
+    return Addresses.proxiedAddress(realAddressAt(name, port));
   }
 
   LinkProxy proxy() {
@@ -284,7 +284,7 @@
       notes.recordDisruptionEnd(disruption);
     }
     if (build.isFormer()) {
-      formerBuildDisruptions.put(node, notes.recordDisruptionStart(History.former(node), false));
+      formerBuildDisruptions.put(node, notes.recordDisruptionStart(History.previousBuild(node), false));
     }
   }
 
--- a/soak/src/main/java/org/lockdale/soak/run/SoakCommand.java
+++ b/soak/src/main/java/org/lockdale/soak/run/SoakCommand.java
@@ -10,7 +10,7 @@
 import org.jspecify.annotations.Nullable;
 import org.lockdale.soak.judge.CrashCounts;
 import org.lockdale.soak.judge.History;
-import org.lockdale.soak.judge.Judge;
+import org.lockdale.soak.judge.RuleChecker;
 import org.lockdale.soak.judge.RuleBreak;
 import org.lockdale.soak.plan.Deployment;
 import org.lockdale.soak.plan.FaultPlan;
@@ -104,7 +104,7 @@
 
   private static int checkRecordedEvents(Path notes) throws IOException {
     History history = NoteLog.read(SoakRun.BOUNDS, notes);
-    List<RuleBreak> violations = Judge.breaks(history);
+    List<RuleBreak> violations = RuleChecker.check(history);
     System.out.println(CrashCounts.of(history));
     violations.forEach(System.out::println);
     return violations.isEmpty() ? 0 : VIOLATION_STATUS;
--- a/soak/src/main/java/org/lockdale/soak/run/SoakRun.java
+++ b/soak/src/main/java/org/lockdale/soak/run/SoakRun.java
@@ -15,7 +15,7 @@
 import org.lockdale.soak.plan.FaultPlan;
 import org.lockdale.soak.plan.PlannedFault;
 import org.lockdale.soak.standin.Addresses;
-import org.lockdale.soak.standin.StallWatch;
+import org.lockdale.soak.standin.StallDetector;
 import org.lockdale.soak.standin.StandardStreams;
 
 /** One run: a deployment with traffic, the faults of a plan, and continuous checks of the rules. */
@@ -105,7 +105,7 @@
       processes.startNode(node);
     }
     try (LoadBalancer loadBalancer = new LoadBalancer(processes, deployment.nodeNames());
-        StallWatch watch = new StallWatch(notes::recordMachineStall)) {
+        StallDetector watch = new StallDetector(notes::recordMachineStall)) {
       await(loadBalancer::allReady);
       deployment
           .nodeNames()
--- a/soak/src/main/java/org/lockdale/soak/standin/Addresses.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/Addresses.java
@@ -57,12 +57,12 @@
   }
 
   /** Returns the real address of a port of a process, given by its group and number. */
-  public InetSocketAddress real(int group, int number, int port) {
+  public InetSocketAddress realAddress(int group, int number, int port) {
     return new InetSocketAddress("127." + network + "." + group + "." + number, port);
   }
 
   /** Returns the proxied address that belongs to a real one. */
-  public static InetSocketAddress proxied(InetSocketAddress real) {
+  public static InetSocketAddress proxiedAddress(InetSocketAddress real) {
     return new InetSocketAddress(proxiedHost(real.getAddress().getHostAddress()), real.getPort());
   }
 
--- a/soak/src/main/java/org/lockdale/soak/standin/CacheCalls.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/CacheCalls.java
@@ -88,7 +88,7 @@
             Addresses.realHost(address.substring(0, colon)),
             Integer.parseInt(address.substring(colon + 1)));
     try (RawCaller caller = new RawCaller(holder, TRANSFER_TIMEOUT_MILLIS)) {
-      caller.setPatience(TRANSFER_TIMEOUT_MILLIS);
+      caller.setReadTimeout(TRANSFER_TIMEOUT_MILLIS);
       caller.send(
           line
               + " HTTP/1.1\r\nHost: holder\r\nContent-Length: "
--- a/soak/src/main/java/org/lockdale/soak/standin/ServerBase.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/ServerBase.java
@@ -110,7 +110,7 @@
     Thread beat = new Thread(() -> sendHeartbeats(heartbeatMillis), "heartbeat");
     beat.setDaemon(true);
     beat.start();
-    try (StallWatch watch = new StallWatch(this::recordStall)) {
+    try (StallDetector watch = new StallDetector(this::recordStall)) {
       StandardStreams.runCommands(this::handleCommand);
     }
   }
@@ -159,7 +159,7 @@
   private void recordStall(long sinceMillis) {
     long id = ThreadLocalRandom.current().nextLong(Long.MIN_VALUE, 0);
     StandardStreams.writeNote(
-        new Note.DisruptionBegan(sinceMillis, id, History.stalled(instance()), false));
+        new Note.DisruptionBegan(sinceMillis, id, History.stalledServer(instance()), false));
     StandardStreams.writeNote(new Note.DisruptionEnded(StandardStreams.nowMillis(), id));
   }
 
--- a/soak/src/main/java/org/lockdale/soak/standin/StallWatch.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/StallDetector.java
@@ -3,10 +3,10 @@
 import java.io.Closeable;
 
 /** Detects that the machine does not schedule this process in time. */
-public final class StallWatch implements Closeable {
+public final class StallDetector implements Closeable {
 
   /** Half of the checker's shortest bound, that of a fallback to an older configuration. */
-  public static final long STALL_MILLIS = 125;
+  public static final long STALL_THRESHOLD_MILLIS = 125;
 
   private static final long CHECK_INTERVAL_MILLIS = 50;
 
@@ -22,7 +22,7 @@
   private final Thread thread = new Thread(this::watch, "stall-watch");
 
   /** Starts a thread that notifies the listener of stalls until this is closed. */
-  public StallWatch(Listener listener) {
+  public StallDetector(Listener listener) {
     this.listener = listener;
     thread.setDaemon(true);
     thread.start();
@@ -33,7 +33,7 @@
       while (true) {
         long before = StandardStreams.nowMillis();
         Thread.sleep(CHECK_INTERVAL_MILLIS);
-        if (StandardStreams.nowMillis() - before > CHECK_INTERVAL_MILLIS + STALL_MILLIS) {
+        if (StandardStreams.nowMillis() - before > CHECK_INTERVAL_MILLIS + STALL_THRESHOLD_MILLIS) {
           listener.onStall(before);
         }
       }
--- a/soak/src/main/java/org/lockdale/soak/standin/StoreProcess.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/StoreProcess.java
@@ -42,7 +42,7 @@
       case "put" -> store.put(fields[2], fields[3], fields[4]);
       case "remove" -> store.remove(fields[2], fields[3]);
       case "fault" -> store.setFault(StandInStore.Fault.valueOf(fields[2]));
-      case "forget" -> store.forgetHistory();
+      case "forget" -> store.discardHistory();
       default -> throw new IllegalArgumentException("unknown command: " + fields[1]);
     }
     StandardStreams.writeLine(StandardStreams.DONE + fields[0] + " " + StandardStreams.nowMillis());
--- a/soak/src/test/java/org/lockdale/soak/judge/StatementRulesTest.java
+++ b/soak/src/test/java/org/lockdale/soak/judge/AnnouncementRulesTest.java
@@ -5,7 +5,7 @@
 import org.testng.annotations.Test;
 
 /** Checks what may reach servers that announce draining or request a backoff in responses. */
-public final class StatementRulesTest {
+public final class AnnouncementRulesTest {
 
   private static final long T = 100_000;
   private static final String SERVER = "server-1";
--- a/soak/src/test/java/org/lockdale/soak/judge/HistoryBuilder.java
+++ b/soak/src/test/java/org/lockdale/soak/judge/HistoryBuilder.java
@@ -102,6 +102,6 @@
     History history = new History(bounds);
     notes.forEach(history::add);
     history.add(new Note.DisruptionEnded(SETTLED_MILLIS, 0));
-    return Judge.breaks(history).stream().map(RuleBreak::rule).distinct().toList();
+    return RuleChecker.check(history).stream().map(RuleBreak::rule).distinct().toList();
   }
 }
--- a/soak/src/test/java/org/lockdale/soak/judge/LateArrivalTest.java
+++ b/soak/src/test/java/org/lockdale/soak/judge/LateArrivalTest.java
@@ -49,7 +49,7 @@
   public void delaysByTheProxyOrTheServerAreExcused() {
     assertEquals(violationsWhenHeldUp(T + 20, T + 690, "node-1>" + SERVER), List.of());
     assertEquals(violationsWhenHeldUp(T + 20, T + 690, History.PROXY), List.of());
-    assertEquals(violationsWhenHeldUp(T + 20, T + 690, History.stalled(SERVER)), List.of());
+    assertEquals(violationsWhenHeldUp(T + 20, T + 690, History.stalledServer(SERVER)), List.of());
   }
 
   @Test
--- a/soak/src/test/java/org/lockdale/soak/judge/JudgeTest.java
+++ b/soak/src/test/java/org/lockdale/soak/judge/RuleCheckerTest.java
@@ -25,7 +25,7 @@
 import org.testng.annotations.Test;
 
 /** Checks histories that violate a rule, at least one for each rule, and similar valid ones. */
-public final class JudgeTest {
+public final class RuleCheckerTest {
 
   private static final long T = 100_000;
   private static final Map<String, String> KEYS = Map.of(KEY, "tenant-1", OTHER_KEY, "tenant-2");
--- a/soak/src/test/java/org/lockdale/soak/link/LinkProxyTest.java
+++ b/soak/src/test/java/org/lockdale/soak/link/LinkProxyTest.java
@@ -30,8 +30,8 @@
 
   @BeforeMethod
   public void start() throws IOException {
-    InetSocketAddress real = Addresses.claim().real(9, 1, Addresses.SERVICE_PORT);
-    proxied = Addresses.proxied(real);
+    InetSocketAddress real = Addresses.claim().realAddress(9, 1, Addresses.SERVICE_PORT);
+    proxied = Addresses.proxiedAddress(real);
     server =
         new RawBackend(
             SERVER,
@@ -56,7 +56,7 @@
   }
 
   private static String call(RawCaller caller) throws IOException {
-    caller.setPatience(PATIENCE_MILLIS);
+    caller.setReadTimeout(PATIENCE_MILLIS);
     sendRequest(caller);
     return caller.read().body();
   }
@@ -66,17 +66,17 @@
   }
 
   private void harm(LinkTrouble trouble) {
-    proxy.harm(Deployment.CALLERS, SERVER, trouble);
+    proxy.inject(Deployment.CALLERS, SERVER, trouble);
   }
 
   private void heal(LinkTrouble trouble) {
-    proxy.heal(Deployment.CALLERS, SERVER, trouble);
+    proxy.remove(Deployment.CALLERS, SERVER, trouble);
   }
 
   @Test
   public void faultsOfOtherLinksHaveNoEffect() throws IOException {
     try (RawCaller caller = open()) {
-      proxy.harm("node-1", SERVER, LinkTrouble.CUT_FORTH);
+      proxy.inject("node-1", SERVER, LinkTrouble.CUT_FORTH);
       assertEquals(call(caller), "echo");
     }
   }
@@ -88,11 +88,11 @@
       try (RawCaller caller = open()) {
         harm(cut);
         sendRequest(caller);
-        caller.setPatience(SILENCE_MILLIS);
+        caller.setReadTimeout(SILENCE_MILLIS);
         assertThrows(SocketTimeoutException.class, caller::read);
         assertEquals(server.received().size(), cut == LinkTrouble.CUT_FORTH ? 1 : 2);
         heal(cut);
-        caller.setPatience(PATIENCE_MILLIS);
+        caller.setReadTimeout(PATIENCE_MILLIS);
         assertEquals(caller.read().body(), "echo");
       }
     }
@@ -114,7 +114,7 @@
     try (RawCaller caller = open()) {
       harm(LinkTrouble.SILENCED);
       heal(LinkTrouble.SILENCED);
-      caller.setPatience(SILENCE_MILLIS);
+      caller.setReadTimeout(SILENCE_MILLIS);
       sendRequest(caller);
       assertThrows(SocketTimeoutException.class, caller::read);
       open().close();
--- a/soak/src/test/java/org/lockdale/soak/run/NodeSignalsTest.java
+++ b/soak/src/test/java/org/lockdale/soak/run/NodeSignalsTest.java
@@ -29,7 +29,7 @@
     Path root = Path.of("..").toAbsolutePath().normalize();
     Path directory = Files.createDirectories(Path.of("target", "signals").toAbsolutePath());
     Addresses addresses = Addresses.claim();
-    InetSocketAddress callers = addresses.real(1, 1, Addresses.SERVICE_PORT);
+    InetSocketAddress callers = addresses.realAddress(1, 1, Addresses.SERVICE_PORT);
     GatewayProgram program = GatewayProgram.read(root);
     Path settings = directory.resolve("node.yaml");
     Map<String, String> values = values(addresses, callers);
@@ -56,9 +56,9 @@
     values.put("ip", callers.getAddress().getHostAddress());
     values.put("limits.cpuCores", "1");
     values.put("listen.front", Addresses.format(callers));
-    values.put("listen.ready", Addresses.format(addresses.real(1, 1, Addresses.READY_PORT)));
+    values.put("listen.ready", Addresses.format(addresses.realAddress(1, 1, Addresses.READY_PORT)));
     values.put("internalPortRange.0", Integer.toString(Addresses.PEERS_PORT));
-    values.put("platform.address", Addresses.format(addresses.real(3, 1, Addresses.SERVICE_PORT)));
+    values.put("platform.address", Addresses.format(addresses.realAddress(3, 1, Addresses.SERVICE_PORT)));
     return values;
   }
 
