--- a/cli/src/main/java/org/lockdale/cli/EngineCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/EngineCommand.java
@@ -86,7 +86,8 @@
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     EngineSettings settings =
         EngineSettings.standard(id, zone, labels, models).withCacheBlocks(cacheBlocks);
-    EngineServer engine = EngineServer.start(settings, listen, group, ledger(), new BlockHolderCounts());
+    EngineServer engine =
+        EngineServer.start(settings, listen, group, ledger(), new BlockHolderCounts());
     register(new HttpClient(group), engine.address());
     System.out.println("ready engine=" + Addresses.format(engine.address()));
     new CountDownLatch(1).await();
--- a/cli/src/test/java/org/lockdale/cli/CallerInterfaceTest.java
+++ b/cli/src/test/java/org/lockdale/cli/CallerInterfaceTest.java
@@ -45,7 +45,8 @@
   }
 
   private static String expectedText(String prompt, int tokens) {
-    return ResponseText.completeText(ResponseText.digest(prompt.getBytes(StandardCharsets.UTF_8)), tokens);
+    return ResponseText.completeText(
+        ResponseText.digest(prompt.getBytes(StandardCharsets.UTF_8)), tokens);
   }
 
   /** A plain completion returns the complete text. */
--- a/cli/src/test/java/org/lockdale/cli/StreamResumeTest.java
+++ b/cli/src/test/java/org/lockdale/cli/StreamResumeTest.java
@@ -8,8 +8,8 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import org.lockdale.coordination.placement.PromptText;
-import org.lockdale.emulator.engine.ResponseText;
 import org.lockdale.emulator.engine.EngineServer;
+import org.lockdale.emulator.engine.ResponseText;
 import org.lockdale.emulator.history.HistoryEvent;
 import org.testng.annotations.Test;
 
--- a/gateway/src/main/java/org/lockdale/gateway/node/GatewayNode.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/GatewayNode.java
@@ -132,7 +132,8 @@
     callers = callers(listener);
     readiness =
         server(
-            GatewaySettings.READINESS_ADDRESS, new ReadinessHandler(blackboard, callers::hasSpareConnections));
+            GatewaySettings.READINESS_ADDRESS,
+            new ReadinessHandler(blackboard, callers::hasSpareConnections));
   }
 
   /**
--- a/gateway/src/main/java/org/lockdale/gateway/weights/EngineUpdate.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/EngineUpdate.java
@@ -199,7 +199,8 @@
       return;
     }
     LoadOrder order =
-        new LoadOrder(move.model(), move.version(), nodeId, lease.fencingToken(), state.orderCount());
+        new LoadOrder(
+            move.model(), move.version(), nodeId, lease.fencingToken(), state.orderCount());
     dependencies
         .control()
         .load(move.engine().backend(), order)
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulation.java
@@ -443,7 +443,8 @@
       Optional.ofNullable(servers.find(run.assumed))
           .ifPresent(
               tracked ->
-                  livenessEvidence.recordResponse(tracked, run.connectedAtMillis, run.startedAtMillis));
+                  livenessEvidence.recordResponse(
+                      tracked, run.connectedAtMillis, run.startedAtMillis));
     }
 
     void readServers() {
--- a/router/src/main/java/org/lockdale/router/request/PlacementStep.java
+++ b/router/src/main/java/org/lockdale/router/request/PlacementStep.java
@@ -75,7 +75,10 @@
 
   private void assign(RequestContext context, Placement placement) {
     context.placement = placement;
-    placement.engine().activity().recordSend(context.promptTokens - placement.estimatedCachedTokens());
+    placement
+        .engine()
+        .activity()
+        .recordSend(context.promptTokens - placement.estimatedCachedTokens());
     context.enter(RequestStage.PLACED);
   }
 
--- a/soak/src/main/java/org/lockdale/soak/judge/Note.java
+++ b/soak/src/main/java/org/lockdale/soak/judge/Note.java
@@ -159,8 +159,8 @@
   /**
    * A disruption started.
    *
-   * @param subject machine, {@link History#STORE}, {@link History#HOST}, or another subject
-   *     that {@link History} defines
+   * @param subject machine, {@link History#STORE}, {@link History#HOST}, or another subject that
+   *     {@link History} defines
    * @param onLink whether it affects links and stops no process
    */
   record DisruptionBegan(long atMillis, long id, String subject, boolean onLink) implements Note {}
--- a/soak/src/main/java/org/lockdale/soak/run/NoteLog.java
+++ b/soak/src/main/java/org/lockdale/soak/run/NoteLog.java
@@ -11,9 +11,9 @@
 import org.lockdale.soak.judge.Bounds;
 import org.lockdale.soak.judge.CrashCounts;
 import org.lockdale.soak.judge.History;
-import org.lockdale.soak.judge.RuleChecker;
 import org.lockdale.soak.judge.Note;
 import org.lockdale.soak.judge.RuleBreak;
+import org.lockdale.soak.judge.RuleChecker;
 import org.lockdale.soak.standin.StandardStreams;
 
 /** Records all notes of a run in the checker's history and in a file. Thread-safe. */
--- a/soak/src/main/java/org/lockdale/soak/run/Processes.java
+++ b/soak/src/main/java/org/lockdale/soak/run/Processes.java
@@ -121,7 +121,8 @@
     List<String> servers = new ArrayList<>(deployment.serverNames());
     servers.add(Deployment.CACHE_STORE);
     for (String server : servers) {
-      proxy.listen(null, server, Addresses.proxiedAddress(realAddress(server)), realAddress(server));
+      proxy.listen(
+          null, server, Addresses.proxiedAddress(realAddress(server)), realAddress(server));
     }
   }
 
@@ -138,7 +139,8 @@
   /** Returns the proxied address of the store that is used only by the given node. */
   private InetSocketAddress storeAddressFor(String node) {
     int number = deployment.nodeNames().indexOf(node) + 1;
-    return Addresses.proxiedAddress(addresses.realAddress(STORE_LINKS_GROUP, number, Addresses.SERVICE_PORT));
+    return Addresses.proxiedAddress(
+        addresses.realAddress(STORE_LINKS_GROUP, number, Addresses.SERVICE_PORT));
   }
 
   private void assignAddresses(List<String> names, int group) {
@@ -284,7 +286,8 @@
       notes.recordDisruptionEnd(disruption);
     }
     if (build.isFormer()) {
-      formerBuildDisruptions.put(node, notes.recordDisruptionStart(History.previousBuild(node), false));
+      formerBuildDisruptions.put(
+          node, notes.recordDisruptionStart(History.previousBuild(node), false));
     }
   }
 
--- a/soak/src/test/java/org/lockdale/soak/run/NodeSignalsTest.java
+++ b/soak/src/test/java/org/lockdale/soak/run/NodeSignalsTest.java
@@ -58,7 +58,8 @@
     values.put("listen.front", Addresses.format(callers));
     values.put("listen.ready", Addresses.format(addresses.realAddress(1, 1, Addresses.READY_PORT)));
     values.put("internalPortRange.0", Integer.toString(Addresses.PEERS_PORT));
-    values.put("platform.address", Addresses.format(addresses.realAddress(3, 1, Addresses.SERVICE_PORT)));
+    values.put(
+        "platform.address", Addresses.format(addresses.realAddress(3, 1, Addresses.SERVICE_PORT)));
     return values;
   }
 
