--- a/gateway/src/main/java/org/lockdale/gateway/backend/Backend.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/Backend.java
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Compares all components. It is spelled out since the method that a record generates is linked
-   * anew in each process that calls it.
+   * Compares all components. Written explicitly, since the method that is generated for records is
+   * linked at run time in every process that calls it.
    */
   @Override
   public boolean equals(Object other) {
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendLoad.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendLoad.java
@@ -73,8 +73,9 @@
 
   /**
    * Returns a number that increases whenever a request is sent, its response starts or it ends. A
-   * report that covers placements made by a relay node must include every engine whose number has
-   * increased, since the relay then discards these placements.
+   * report to a relay node must include every engine whose number has increased: on receiving it,
+   * the relay discards the placements that the report covers, and from then on counts only the
+   * reported work.
    */
   public long changeCount() {
     return changeCount.get();
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendProtocol.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendProtocol.java
@@ -16,7 +16,7 @@
    */
   boolean isControlPath(String path);
 
-  /** Returns whether a response belongs to a request. */
+  /** Returns whether a response belongs to a request, according to its headers. */
   boolean belongsTo(CallerRequest request, HttpHeaders response);
 
   /** Parses the head of a response. */
--- a/gateway/src/main/java/org/lockdale/gateway/backend/RemoteLoads.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/RemoteLoads.java
@@ -7,7 +7,7 @@
   /**
    * Returns the work of other nodes at a backend, as far as they have reported it.
    *
-   * @param engine id of the backend
+   * @param backend id of the backend
    */
-  BackendWork at(String engine);
+  BackendWork at(String backend);
 }
--- a/gateway/src/main/java/org/lockdale/gateway/backend/TrackedBackend.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/TrackedBackend.java
@@ -73,7 +73,7 @@
 
   /**
    * Returns the same incarnation with a newer record. If its address has changed, it no longer
-   * counts as ended because another instance responded at the former address.
+   * counts as ended: another instance at the former address does not show that this one has ended.
    */
   public TrackedBackend with(Backend newer) {
     boolean moved = !newer.address().equals(backend.address());
@@ -206,7 +206,11 @@
     learned.weights.put(model, new ObservedWeights(version, true));
   }
 
-  /** Returns the newest known version of a model's weights, or null where none is known. */
+  /**
+   * Returns the version of a model's weights that the engine is known to hold, or null where none
+   * is known. This is the newest one in its record or its responses, unless {@link #correctWeights}
+   * has set an older one.
+   */
   public @Nullable Long weightsOf(String model) {
     Long listed = backend.weights().get(model);
     ObservedWeights observed = learned.weights.get(model);
--- a/gateway/src/main/java/org/lockdale/gateway/cache/CacheDirectory.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/CacheDirectory.java
@@ -134,7 +134,7 @@
 
   /**
    * Returns the addresses of the configured stores except those known not to respond. A node that
-   * follows no holders knows none of these and returns all stores.
+   * follows no holders does not know which these are and returns all stores.
    */
   public List<InetSocketAddress> storeAddresses() {
     List<InetSocketAddress> addresses = new ArrayList<>();
--- a/gateway/src/main/java/org/lockdale/gateway/drain/BackendAnnouncements.java
+++ b/gateway/src/main/java/org/lockdale/gateway/drain/BackendAnnouncements.java
@@ -22,8 +22,8 @@
   private static final long UNREADABLE_LOG_MILLIS = 1_000;
 
   /**
-   * Divisor of the length of a backoff that yields the upper bound of its random extension, which
-   * is also limited to {@link #MAX_SPREAD_MILLIS}.
+   * The random extension of a backoff is at most its length divided by this, and at most {@link
+   * #MAX_SPREAD_MILLIS}.
    */
   private static final long SPREAD_DIVISOR = 10;
 
--- a/gateway/src/main/java/org/lockdale/gateway/drain/DrainingBackends.java
+++ b/gateway/src/main/java/org/lockdale/gateway/drain/DrainingBackends.java
@@ -124,8 +124,8 @@
   }
 
   /**
-   * Logs once for each incarnation that its record still does not show that it is draining, after
-   * the time in which it should.
+   * Logs the incarnations whose records still do not show that they are draining some time after
+   * the announcement. Checks each incarnation once.
    */
   public synchronized void tick(BackendTable table) {
     long now = time.monotonicMillis();
--- a/gateway/src/main/java/org/lockdale/gateway/placement/BackendChooser.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/BackendChooser.java
@@ -45,8 +45,8 @@
 
   /**
    * Cost of waiting for a free slot, in tokens. It exceeds {@link #NON_PREFERRED_COST}, since
-   * otherwise prompts are queued at engines without a free slot while engines of the other set have
-   * free ones.
+   * otherwise prompts are queued at engines without a free slot while engines preferred for prompts
+   * of the other length have free ones.
    */
   private static final double NO_FREE_SLOT_COST = 8_000;
 
@@ -117,7 +117,7 @@
     List<TrackedBackend> considered = usable;
     if (noneHealthy) {
       // Without a backend known to be healthy, one that may have recovered is better than none. One
-      // that is backing off has requested this itself, so it stays excluded.
+      // in a backoff has itself requested to be sent no requests, so it stays excluded.
       considered.addAll(ejected);
     }
     List<TrackedBackend> available =
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PromptLengthMix.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PromptLengthMix.java
@@ -24,7 +24,7 @@
   private static final class Averages {
     double shortTokens;
     double longTokens;
-    double shortRequests = 0.5;
+    double shortRequestShare = 0.5;
   }
 
   private final Map<String, Averages> byPool = new HashMap<>();
@@ -36,12 +36,12 @@
   synchronized double recordAndGetShortShare(String pool, PromptPlacement prompt) {
     Averages averages = byPool.computeIfAbsent(pool, name -> new Averages());
     double isShort = prompt.isLong() ? 0 : 1;
-    averages.shortRequests = smoothed(averages.shortRequests, isShort);
+    averages.shortRequestShare = smoothed(averages.shortRequestShare, isShort);
     averages.shortTokens = smoothed(averages.shortTokens, isShort * prompt.tokens());
     averages.longTokens = smoothed(averages.longTokens, (1 - isShort) * prompt.tokens());
     boolean mixed =
-        averages.shortRequests > MIN_MINORITY_SHARE
-            && averages.shortRequests < 1 - MIN_MINORITY_SHARE;
+        averages.shortRequestShare > MIN_MINORITY_SHARE
+            && averages.shortRequestShare < 1 - MIN_MINORITY_SHARE;
     if (!mixed) {
       return 0;
     }
--- a/gateway/src/main/java/org/lockdale/gateway/weights/EngineUpdate.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/EngineUpdate.java
@@ -32,8 +32,9 @@
 
   /**
    * Longest time, in milliseconds, for which an order waits until the engine has processed the
-   * prompts that it is reading, since it rejects requests whose response has not started. In this
-   * time an engine processes 23,000 tokens, at 38 tokens a millisecond.
+   * prompts that wait there. When the order arrives, the engine rejects the requests whose response
+   * has not started. Within this limit an engine processes 23,000 tokens, at 38 tokens a
+   * millisecond.
    */
   private static final long MAX_PREFILL_WAIT_MILLIS = 600;
 
--- a/gateway/src/test/java/org/lockdale/gateway/weights/EngineUpdateTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/weights/EngineUpdateTest.java
@@ -121,8 +121,8 @@
 
   /**
    * Guards against announcements that expire before the move is completed. An engine that first
-   * completes its running requests takes seconds for an order; if it was expected back sooner, it
-   * looked idle, attracted the requests of all nodes and rejected each of them.
+   * completes its running requests takes seconds for an order. Once its announcement had expired,
+   * it looked idle, so all nodes sent it requests, each of which it rejected.
    */
   @Test
   public void anEngineCountsAsMovingUntilItsOrderIsCompleted() {
