--- a/gateway/src/main/java/org/lockdale/gateway/request/Attempt.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/Attempt.java
@@ -137,7 +137,7 @@
   private void incarnationEnded() {
     if (!ended) {
       loss = LostAttempt.Loss.SILENT;
-      abandon(brokenResult(), "its backend has restarted");
+      abandon(brokenResult(), "it has been replaced by another instance");
     }
   }
 
@@ -230,9 +230,11 @@
       announcements.process(target, received);
     }
     if (received.misdirected()) {
-      finish(AttemptResult.MISDIRECTED, "it is not the intended incarnation or has other weights");
+      finish(
+          AttemptResult.MISDIRECTED,
+          "the backend is another incarnation or has other weights than intended");
     } else if (received.notRun()) {
-      finish(AttemptResult.NOT_RUN, "it accepts no requests now");
+      finish(AttemptResult.NOT_RUN, "the backend accepts no requests now");
     } else if (received.isSuccess() && !received.authentic()) {
       abandon(AttemptResult.FAILED, "its response has no proof of origin");
     } else if (received.isSuccess() && received.eventStream()) {
--- a/gateway/src/main/java/org/lockdale/gateway/request/AttemptReporter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/AttemptReporter.java
@@ -22,7 +22,7 @@
     this.state = state;
   }
 
-  /** Must be called when an attempt is about to be sent. */
+  /** Reports an attempt to the quarantine. Must be called just before it is sent. */
   void onSending(Attempt attempt) {
     concludeRecorded(false);
     String backend = attempt.target().backend().id();
@@ -30,7 +30,7 @@
         path.quarantine().attemptStarting(state.request, state.caller(), backend).orElse(null);
   }
 
-  /** Must be called when the request has ended, whatever attempt was running. */
+  /** Concludes the recorded suspect attempt, if any. Must be called when the request has ended. */
   void onRequestEnded() {
     concludeRecorded(false);
   }
--- a/gateway/src/main/java/org/lockdale/gateway/request/PoolWaits.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/PoolWaits.java
@@ -35,8 +35,8 @@
 
   /**
    * Returns whether a placed request would miss its latency objective if it kept its priority. When
-   * engines are overloaded, serving in order of arrival makes every request late; such a request is
-   * deferred in favour of those that can still meet their objective.
+   * engines are overloaded, serving in order of arrival makes every request late, so those that
+   * would miss their objective are deferred in favour of those that can still meet it.
    */
   boolean wouldBeLate(RequestState state) {
     if (state.prompt == null) {
@@ -50,8 +50,9 @@
 
   /**
    * Returns whether a placed request is so unlikely to be served in time that it is better refused
-   * now. Both estimates have to show it: that from the tokens queued at its engine misses engines
-   * that have stalled, and that from this node's queue at the pool misses engines that are free.
+   * now. Both estimates have to show it, since each can err: the one from the tokens queued at
+   * the engine does not account for stalled engines, and the one from this node's queue at the pool
+   * does not account for free engines.
    */
   boolean cannotMeetDeadline(RequestState state) {
     long left = state.deadlineAtMillis() - time.monotonicMillis();
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestExecution.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestExecution.java
@@ -121,7 +121,7 @@
   }
 
   /**
-   * Handles that all backends that could serve the request are at their rate limits or in a
+   * Handles a request for which all backends that could serve it are at their rate limits or in a
    * backoff. The request waits if it can still meet its objective; otherwise it is refused with a
    * retry time, as it is better served elsewhere or later.
    */
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestPath.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestPath.java
@@ -330,7 +330,10 @@
     return callerProtocol.render(refusal);
   }
 
-  /** Must be called when no backend has run the request or ever will. */
+  /**
+   * Refunds what the request consumed of its tenant's limit. Must be called when no backend has run
+   * the request or ever will.
+   */
   void onNotRun(RequestState state) {
     tenantLimits.refund(state);
   }
