--- a/gateway/src/main/java/org/lockdale/gateway/blackboard/GatewayBlackboard.java
+++ b/gateway/src/main/java/org/lockdale/gateway/blackboard/GatewayBlackboard.java
@@ -14,7 +14,8 @@
  * @param configuration configuration in force; written by the operator controller
  * @param weights target versions of weights set by operators; written by the operator controller
  * @param backends registered backends; written by the backend controller
- * @param rollout engines that are being moved to other weights; written by the rollout observer
+ * @param rollout engines that are being moved to other weights; written by the cluster services,
+ *     which receive the announcements of the rollout coordinator
  * @param suspects suspect requests, during which backends crashed; written by the quarantine
  * @param phase lifecycle phase of the node; written by the node
  */
--- a/gateway/src/main/java/org/lockdale/gateway/blackboard/GatewayPhase.java
+++ b/gateway/src/main/java/org/lockdale/gateway/blackboard/GatewayPhase.java
@@ -2,9 +2,12 @@
 
 /** Lifecycle phase of a node. */
 public enum GatewayPhase {
-  /** The configuration or the backends are not known yet. */
+  /**
+   * Initial phase, which lasts until a planned stop starts. It does not show whether the node
+   * already has the state that it needs to serve requests.
+   */
   STARTING,
-  /** Requests are served. */
+  /** Requests are served. Not set at present; see {@link #STARTING}. */
   SERVING,
   /**
    * The node is stopping and should get no new connections; requests that still arrive are served.
--- a/gateway/src/main/java/org/lockdale/gateway/configuration/RouteKind.java
+++ b/gateway/src/main/java/org/lockdale/gateway/configuration/RouteKind.java
@@ -6,6 +6,8 @@
   IDEMPOTENT,
   /** A complete response; the request runs at most once. */
   NON_IDEMPOTENT,
-  /** A stream of server-sent events. */
+  /**
+   * A stream of server-sent events; the request may run more than once if the route is resumable.
+   */
   STREAM
 }
--- a/gateway/src/main/java/org/lockdale/gateway/configuration/TenantLimit.java
+++ b/gateway/src/main/java/org/lockdale/gateway/configuration/TenantLimit.java
@@ -21,7 +21,8 @@
    */
   public TenantLimit {
     if (!(ratePerSecond > 0) || !(burst >= 0) || plainTokens < 0) {
-      throw new IllegalArgumentException("a limit has a positive rate and no negative parts");
+      throw new IllegalArgumentException(
+          "the rate of a limit must be positive; its burst and plain tokens must not be negative");
     }
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/limit/ShareLender.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/ShareLender.java
@@ -38,8 +38,8 @@
    * be in effect, so it does not lend until they have ended.
    *
    * @param startedAtMillis monotonic time at which the process started; its former incarnation had
-   *     ended by then. On a slow machine much of the term has passed before the first loan is
-   *     requested
+   *     ended by then. The term is counted from this time, since on a slow machine much of it has
+   *     passed before the first loan is requested
    */
   public ShareLender(long startedAtMillis) {
     this.lentUntilMillis = startedAtMillis + TERM_MILLIS;
--- a/gateway/src/main/java/org/lockdale/gateway/limit/TenantBuckets.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/TenantBuckets.java
@@ -5,12 +5,13 @@
 import java.util.OptionalLong;
 
 /**
- * Token buckets of all tenants with a limit, at a node that decides for others. Nodes lend it their
- * shares of the limits. A bucket gains and holds no more than the borrowed shares allow, so that
- * all such nodes together keep to the limits, however many there are. Buckets start empty, so that
- * a restart gains nothing. They never go below zero, since a successor would not know a relay's
- * debt. Nodes also lend their shares of a reserve, which may be used once per window when the level
- * of a bucket is too low. Performs no I/O; the time is passed in. Not thread-safe.
+ * Token buckets of all tenants with a limit, at a limit relay, the relay node that decides on
+ * limits for the other nodes. Nodes lend it their shares of the limits. A bucket gains and holds no
+ * more than the borrowed shares allow, so that all limit relays together keep to the limits, even
+ * if there are several at a time. Buckets start empty, so that a restart gains nothing. They never
+ * go below zero, since a successor would not know a relay's debt. Nodes also lend their shares of a
+ * reserve, which may be used once per window when the level of a bucket is too low. Performs no
+ * I/O; the time is passed in. Not thread-safe.
  */
 public final class TenantBuckets {
 
@@ -204,7 +205,8 @@
 
   /**
    * Excludes the time of a suspension of the machine from the gain of the buckets: other nodes
-   * decided on requests meanwhile, and the clock may have been set instead.
+   * decided on requests meanwhile, and a clock that was set ahead cannot be distinguished from a
+   * suspension.
    *
    * @param millis duration of the suspension, in milliseconds
    */
--- a/gateway/src/main/java/org/lockdale/gateway/rate/AdvertisedRates.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/AdvertisedRates.java
@@ -10,11 +10,11 @@
 import org.lockdale.gateway.backend.AdvertisedRate;
 
 /**
- * The rate limits that backends advertise in their responses. Responses arrive out of order, so an
+ * The rate limits that backends advertise in their responses. Responses arrive out of order, so a
  * response counts as later than another only if its request was sent after the other response had
  * been received, which implies that it was written later. Among responses that may have been
- * written in either order the lowest rate applies, and a response without a rate ends none.
- * Performs no I/O; the time is passed in. Not thread-safe.
+ * written in either order the lowest rate applies, and a response without a rate does not end the
+ * limit. Performs no I/O; the time is passed in. Not thread-safe.
  */
 public final class AdvertisedRates {
 
--- a/gateway/src/main/java/org/lockdale/gateway/rate/BackendRates.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/BackendRates.java
@@ -98,8 +98,8 @@
       return;
     }
     long now = time.monotonicMillis();
-    // Also notified for some time after a limit ended: a relay that did not receive the first
-    // response without one would keep it.
+    // The listener is also notified for some time after a limit ended: a relay that missed the
+    // notification of the first response without a rate would otherwise keep the limit.
     boolean notifies = rate instanceof AdvertisedRate.Limited || isKnown(backend);
     boolean isNew = record(backend, rate, sentAtMillis, now, "answer");
     if (notifies) {
--- a/gateway/src/main/java/org/lockdale/gateway/rate/RateBound.java
+++ b/gateway/src/main/java/org/lockdale/gateway/rate/RateBound.java
@@ -10,16 +10,16 @@
 record RateBound(double perSecond) {
 
   /**
-   * Minimum rate. A backend that accepts nothing is sent an occasional request, since only an
+   * Minimum rate. A backend that accepts nothing is sent an occasional request, since only a
    * response can show that it accepts requests again.
    */
   private static final double MIN_PER_SECOND = 0.25;
 
   /**
    * Part of the burst that a backend tolerates, as seconds of its rate. In any four seconds a
-   * backend tolerates 1.5 times the requests that its rate allows, plus five, which is two seconds
-   * of its rate and five requests as a burst. Half a second of the rate and 1.5 requests of that
-   * are reserved for requests that were granted one after the other but arrive together.
+   * backend tolerates 1.5 times the requests that its rate allows, plus five. This is a burst of
+   * two seconds of its rate and five requests. Of this burst, half a second of the rate and 1.5
+   * requests are reserved for requests that were granted one after the other but arrive together.
    */
   private static final double TOLERATED_SECONDS = 1.5;
 
@@ -27,12 +27,12 @@
   private static final double TOLERATED_REQUESTS = 3.5;
 
   /**
-   * Burst of a node that decides for all, as seconds of the rate, so that a short pause loses no
-   * capacity.
+   * Burst of a node that holds the shares of all nodes, as seconds of the rate, so that a short
+   * pause loses no capacity.
    */
   private static final double BURST_SECONDS = 0.5;
 
-  /** Burst of a node that decides for all that does not depend on the rate, in requests. */
+  /** Part of that burst that does not depend on the rate, in requests. */
   private static final double BURST_REQUESTS = 2;
 
   /** Raises the rate to the minimum. */
--- a/gateway/src/main/java/org/lockdale/gateway/usage/TrafficMeter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/usage/TrafficMeter.java
@@ -6,8 +6,9 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /**
- * Counts by kind the bytes of bodies that a node exchanges with other nodes, the store and
- * backends, except for the requests themselves. Thread-safe.
+ * Counts by kind the bytes that a node exchanges with other nodes, the store and backends:
+ * datagrams, and the paths and bodies of calls. Requests of callers and their responses are not
+ * counted. Thread-safe.
  */
 public final class TrafficMeter {
 
