--- a/gateway/src/main/java/org/lockdale/gateway/limit/RetryBudget.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/RetryBudget.java
@@ -25,8 +25,8 @@
   private final Map<String, PoolWindow> windows = new HashMap<>();
 
   /**
-   * Fraction of the deployment's ratio that is used, since its windows and those of the nodes
-   * differ.
+   * Fraction of the deployment's ratio that is used, since its windows and those of the nodes do
+   * not coincide.
    */
   private static final double RATIO_FRACTION = 0.75;
 
--- a/gateway/src/main/java/org/lockdale/gateway/request/PoolWaits.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/PoolWaits.java
@@ -50,8 +50,8 @@
 
   /**
    * Returns whether a placed request is so unlikely to be served in time that it is better refused
-   * now. Both estimates have to show it, since each can err: the one from the tokens queued at
-   * the engine does not account for stalled engines, and the one from this node's queue at the pool
+   * now. Both estimates have to show it, since each can err: the one from the tokens queued at the
+   * engine does not account for stalled engines, and the one from this node's queue at the pool
    * does not account for free engines.
    */
   boolean cannotMeetDeadline(RequestState state) {
--- a/gateway/src/main/java/org/lockdale/gateway/request/StreamForwarder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/StreamForwarder.java
@@ -75,7 +75,7 @@
     return state.exchange.queuedBytes() > MAX_QUEUED_BYTES;
   }
 
-  /** Completes the response, after sending the rest of the stream, which is no complete event. */
+  /** Completes the response, after sending the rest of the stream that is not a complete event. */
   void end() {
     ByteBuf rest = decoder.remainder();
     if (rest.isReadable()) {
--- a/gateway/src/main/java/org/lockdale/gateway/weights/RolloutController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/weights/RolloutController.java
@@ -25,8 +25,8 @@
 
 /**
  * Moves engines to the newest target version. Every node runs a controller; the one that holds the
- * lease gives the orders, to a few engines at a time and always straight to the newest version.
- * Runs on one event loop.
+ * lease, the rollout coordinator, gives the orders, to a few engines at a time and always straight
+ * to the newest version. Runs on one event loop.
  */
 public final class RolloutController {
 
