--- a/emulator/src/main/java/org/lockdale/emulator/engine/BlockHolderCounts.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/BlockHolderCounts.java
@@ -6,8 +6,8 @@
 
 /**
  * Counts how many engines of this process hold each prefix block, without the delay and loss of
- * cache events. Serves as the reference for wasted recomputation, that is of blocks that another
- * engine held. Safe for use by several threads.
+ * cache events. Serves as the reference for avoidable recomputation, that is, of blocks that
+ * another engine held. Safe for use by several threads.
  */
 public final class BlockHolderCounts {
 
--- a/emulator/src/main/java/org/lockdale/emulator/engine/EngineModel.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/EngineModel.java
@@ -46,7 +46,7 @@
   private final List<Attempt> decodePlan = new ArrayList<>();
   private long arrivals;
   private long highestFencingToken;
-  private boolean leaving;
+  private boolean draining;
   private @Nullable LoadReport lastReport;
   private long lastReportMicros;
 
@@ -117,7 +117,7 @@
     if (attempts.containsKey(request.attemptId())) {
       return SubmitResult.DUPLICATE_ATTEMPT;
     }
-    if (leaving) {
+    if (draining) {
       return SubmitResult.LEAVING;
     }
     return queue.size() >= settings.maxQueued() ? SubmitResult.QUEUE_FULL : SubmitResult.ACCEPTED;
@@ -306,7 +306,7 @@
         incarnation,
         settings.zone(),
         settings.labels(),
-        leaving,
+        draining,
         Map.copyOf(weights),
         running.size(),
         queue.size(),
@@ -330,8 +330,8 @@
     switch (order.action()) {
       case LOAD_WEIGHTS -> weights.put(order.model(), order.version());
       case UNLOAD_WEIGHTS -> weights.remove(order.model());
-      case LEAVE -> leaving = true;
-      case RETURN -> leaving = false;
+      case LEAVE -> draining = true;
+      case RETURN -> draining = false;
       default -> throw new IllegalStateException("unknown action: " + order.action());
     }
     lastReport = null;
--- a/emulator/src/main/java/org/lockdale/emulator/engine/EngineSettings.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/EngineSettings.java
@@ -14,8 +14,9 @@
  * @param maxQueued maximum number of requests that wait for a place in the batch
  * @param prefillTokensPerStep maximum number of prompt tokens computed in a step
  * @param stepMicros fixed duration of a step in microseconds
- * @param prefillMicrosPerToken additional duration of a step for each prompt token
- * @param decodeMicrosPerSequence additional duration of a step for each decoding sequence
+ * @param prefillMicrosPerToken additional duration of a step in microseconds for each prompt token
+ * @param decodeMicrosPerSequence additional duration of a step in microseconds for each decoding
+ *     sequence
  * @param cacheBlocks capacity of the cache in prefix blocks
  * @param loadReportMicros age in microseconds at which a load report is renewed
  * @param cacheEventDelayMicros delay in microseconds until a cache event is published
@@ -65,7 +66,7 @@
 
   /**
    * Returns these settings with steps of a fixed duration, whatever they compute, for measurements
-   * of the overhead of relaying.
+   * of the overhead of forwarding.
    *
    * @param micros duration of a step in microseconds
    * @param running maximum number of sequences in a batch, and of requests that wait
--- a/emulator/src/main/java/org/lockdale/emulator/engine/LoadReport.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/LoadReport.java
@@ -15,7 +15,8 @@
  * @param queued requests that wait for a place in the batch
  * @param queuedPromptTokens prompt tokens of queued and running requests not yet computed
  * @param maxRunning maximum number of sequences in a batch
- * @param prefillTokensPerSecond prompt tokens a second on an otherwise idle engine
+ * @param prefillTokensPerSecond prompt tokens that the engine computes a second if it does nothing
+ *     else
  * @param cachedBlocks prefix blocks in the cache
  * @param ageMicros age of the report in microseconds; 0 in reports of {@link EngineModel}
  */
--- a/emulator/src/main/java/org/lockdale/emulator/engine/RunRecord.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/RunRecord.java
@@ -1,7 +1,7 @@
 package org.lockdale.emulator.engine;
 
 /**
- * Record of an engine that it started to run an attempt. Checks take it as ground truth.
+ * Written by an engine when it starts to run an attempt. Checks treat it as ground truth.
  *
  * @param engineId engine id
  * @param incarnation incarnation of the engine
--- a/emulator/src/main/java/org/lockdale/emulator/history/HistoryEvent.java
+++ b/emulator/src/main/java/org/lockdale/emulator/history/HistoryEvent.java
@@ -45,7 +45,7 @@
    * @param startedAtMicros time at which it was sent, in microseconds of the recorder's clock
    * @param firstTokenMicros microseconds from sending to the first part of the response, or -1 if
    *     there was none
-   * @param endedAtMicros time at which it ended
+   * @param endedAtMicros time at which it ended, in microseconds of the recorder's clock
    */
   record Call(
       long call,
@@ -72,7 +72,8 @@
    * @param promptDigest digest of the prompt
    * @param promptTokens length of the prompt in tokens
    * @param cachedTokens prompt tokens found in the cache
-   * @param heldElsewhereTokens prompt tokens not found there although another engine held them
+   * @param heldElsewhereTokens prompt tokens not found in the cache although another engine held
+   *     them
    * @param atMicros time in microseconds of the recorder's clock
    */
   record Run(
--- a/emulator/src/main/java/org/lockdale/emulator/load/LoadReport.java
+++ b/emulator/src/main/java/org/lockdale/emulator/load/LoadReport.java
@@ -19,7 +19,7 @@
  * @param firstTokens times to first token by group of services, such as a priority
  * @param prefixHitRate ratio of prompt tokens found in caches to all prompt tokens
  * @param wastedShare ratio of computed prompt tokens that another engine held to all computed ones
- * @param verdict of the history check
+ * @param verdict result of the history check
  */
 public record LoadReport(
     int requests,
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Returns the group of a call. Requests with a key are grouped apart, as they are not streamed:
-   * their first token arrives with the complete response.
+   * Returns the group of a call. Requests with an idempotency key are grouped separately, as they
+   * are not streamed: their first token arrives with the complete response.
    */
   private static String groupOf(HistoryEvent.Call call, UnaryOperator<String> groupOfService) {
     String group = groupOfService.apply(call.service());
--- a/emulator/src/main/java/org/lockdale/emulator/load/ZipfSampler.java
+++ b/emulator/src/main/java/org/lockdale/emulator/load/ZipfSampler.java
@@ -2,7 +2,10 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Samples indexes from a Zipf distribution: the probability of a rank falls as a power of it. */
+/**
+ * Samples indexes from a Zipf distribution: the probability of index {@code i} is proportional to
+ * {@code (i + 1)} to the power of the negative exponent.
+ */
 final class ZipfSampler {
 
   private final double[] cumulative;
--- a/emulator/src/main/java/org/lockdale/emulator/platform/MachineEntry.java
+++ b/emulator/src/main/java/org/lockdale/emulator/platform/MachineEntry.java
@@ -10,7 +10,7 @@
  * @param zone zone of the machine
  * @param host IP address
  * @param port port of the machine's main service
- * @param state {@code live} or {@code leaving}
+ * @param state {@code live}, or {@code leaving} while the machine is draining
  * @param labels labels of the machine
  */
 public record MachineEntry(
--- a/emulator/src/main/java/org/lockdale/emulator/platform/MachineList.java
+++ b/emulator/src/main/java/org/lockdale/emulator/platform/MachineList.java
@@ -9,7 +9,7 @@
 import org.lockdale.coordination.time.Time;
 
 /**
- * The list of live and leaving machines, with its earlier versions, so that a stale list can be
+ * The list of live and draining machines, with its earlier versions, so that a stale list can be
  * served. Safe for use by several threads.
  */
 public final class MachineList {
