--- a/soak/src/main/java/org/lockdale/soak/judge/AnnouncementRules.java
+++ b/soak/src/main/java/org/lockdale/soak/judge/AnnouncementRules.java
@@ -20,7 +20,8 @@
 
   /**
    * Checks rule DRAIN: a node that has forwarded a server's announcement to a caller sends the
-   * server no requests that callers sent later than {@link Bounds#drainMillis} after that.
+   * server no requests that callers sent later than {@link Bounds#drainMillis} after that. The
+   * previous build is exempt.
    */
   static List<RuleBreak> drainAnnouncements(History history) {
     Map<String, List<Arrival>> arrivals =
@@ -102,8 +103,8 @@
   }
 
   /**
-   * Returns whether an arrival counts. A disrupted node may not have received the backoff, and
-   * requests that the soak delayed may have been sent before it.
+   * Returns whether an arrival counts. A disrupted node may not have received the backoff, the
+   * previous build is exempt, and requests that the soak delayed may have been sent before it.
    */
   private static boolean isBoundByBackoff(
       History history, Note.RestTold announcement, Arrival arrival) {
--- a/soak/src/main/java/org/lockdale/soak/judge/ConfigurationRules.java
+++ b/soak/src/main/java/org/lockdale/soak/judge/ConfigurationRules.java
@@ -246,7 +246,7 @@
    * #MIN_OVERDUE} responses, and more than half of those after the timeout, also exceed the slack.
    */
   static List<RuleBreak> overdueResponses(History history) {
-    int overdue = 0;
+    int late = 0;
     List<RuleBreak> violations = new ArrayList<>();
     for (RequestHistory request : history.requests()) {
       Note.Sent sent = request.sent();
@@ -260,7 +260,7 @@
       boolean applies =
           history.isFullyRecorded(last) && history.isStable(sent.node(), sent.atMillis(), last);
       if (applies && answered > due) {
-        overdue++;
+        late++;
         if (answered > last) {
           violations.add(
               new RuleBreak(
@@ -268,7 +268,7 @@
         }
       }
     }
-    return violations.size() >= MIN_OVERDUE && violations.size() * 2 > overdue
+    return violations.size() >= MIN_OVERDUE && violations.size() * 2 > late
         ? violations
         : List.of();
   }
--- a/soak/src/main/java/org/lockdale/soak/judge/CrashRules.java
+++ b/soak/src/main/java/org/lockdale/soak/judge/CrashRules.java
@@ -51,7 +51,10 @@
     return violations;
   }
 
-  /** Checks rule ENDS: a node must not take a replacement of a crashed server for that server. */
+  /**
+   * Checks rule ENDS: a node must not take a replacement of a crashed server for that server. The
+   * previous build is exempt.
+   */
   static List<RuleBreak> livenessAfterCrash(History history) {
     Map<String, Long> crashTimes = new HashMap<>();
     history.crashes().forEach(crash -> crashTimes.putIfAbsent(crash.server(), crash.atMillis()));
--- a/soak/src/main/java/org/lockdale/soak/judge/Note.java
+++ b/soak/src/main/java/org/lockdale/soak/judge/Note.java
@@ -4,8 +4,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * An event recorded by a caller, a server or the driver. Times are in milliseconds of the host's
- * monotonic clock, which all processes share.
+ * An event recorded by a caller, a server or the driver, which is the process that starts all
+ * others. Times are in milliseconds of the host's monotonic clock, which all processes share.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "note")
 public sealed interface Note {
@@ -118,7 +118,7 @@
   record Crashed(long atMillis, String server, String request) implements Note {}
 
   /**
-   * A node logged that a server was alive after it had counted its crash.
+   * A node logged that a server was alive although the node had counted its crash.
    *
    * @param atMillis when the server was alive according to the node
    */
--- a/soak/src/main/java/org/lockdale/soak/link/LinkProxy.java
+++ b/soak/src/main/java/org/lockdale/soak/link/LinkProxy.java
@@ -53,7 +53,7 @@
   public interface DelayListener {
 
     /**
-     * Receives that a link, or all of them, was delayed until now.
+     * Called after a delay of a link, or of all links, that has just ended.
      *
      * @param what subject of the disruption, as {@link History} defines it
      * @param sinceMillis start of the delay, on the host's monotonic clock
--- a/soak/src/main/java/org/lockdale/soak/link/ProxiedConnection.java
+++ b/soak/src/main/java/org/lockdale/soak/link/ProxiedConnection.java
@@ -89,8 +89,8 @@
     private int queuedBytes;
     private boolean failed;
 
-    Direction(boolean isForth, Channel from, Channel to) {
-      this.isOutbound = isForth;
+    Direction(boolean isOutbound, Channel from, Channel to) {
+      this.isOutbound = isOutbound;
       this.from = from;
       this.to = to;
     }
--- a/soak/src/main/java/org/lockdale/soak/plan/Deployment.java
+++ b/soak/src/main/java/org/lockdale/soak/plan/Deployment.java
@@ -13,7 +13,7 @@
  */
 public record Deployment(int nodes, int engines, int plains) {
 
-  /** Matches every process at one end of a link. */
+  /** Stands for all processes that listen, as the destination of a link fault. */
   public static final String ANY = "*";
 
   /** Name of the store. */
--- a/soak/src/main/java/org/lockdale/soak/plan/Fault.java
+++ b/soak/src/main/java/org/lockdale/soak/plan/Fault.java
@@ -63,7 +63,7 @@
   /**
    * A fault of the links between two processes.
    *
-   * @param source process that connects, or {@link Deployment#ANY}
+   * @param source process that connects
    * @param destination process that listens, or {@link Deployment#ANY}
    * @param lastsMillis duration of the fault, in milliseconds
    */
@@ -80,7 +80,7 @@
   record ByOperator(OperatorChange change) implements Fault {}
 
   /**
-   * Another writer puts an entry into the servers' table that describes no usable server.
+   * Another writer puts an entry into the server table that describes no usable server.
    *
    * @param key key of the entry
    * @param value value of the entry, without spaces
--- a/soak/src/main/java/org/lockdale/soak/plan/FaultPlan.java
+++ b/soak/src/main/java/org/lockdale/soak/plan/FaultPlan.java
@@ -17,7 +17,10 @@
   /** Time without faults at the start, in which nodes open connections and fill their caches. */
   private static final long QUIET_START_MILLIS = 3_000;
 
-  /** Maximum time without faults at the end; only there do bounds on undisrupted time expire. */
+  /**
+   * Maximum time without faults at the end. Only there do rules apply that require a long time
+   * without disruption.
+   */
   private static final long QUIET_END_MILLIS = 12_000;
 
   /** Divisor of a short run's length that gives its time without faults at the end. */
@@ -114,7 +117,10 @@
       return faults;
     }
 
-    /** Draws new weights in more than half of all changes, since most depends on them. */
+    /**
+     * Draws new weights in more than half of all changes, since more depends on them than on any
+     * other change.
+     */
     private Fault operatorChange() {
       return new Fault.ByOperator(
           random.nextBoolean()
--- a/soak/src/main/java/org/lockdale/soak/plan/ForeignEntryFaults.java
+++ b/soak/src/main/java/org/lockdale/soak/plan/ForeignEntryFaults.java
@@ -6,7 +6,7 @@
 import org.lockdale.soak.standin.ForeignValues;
 
 /**
- * Draws entries of other writers in the servers' table. They are drawn separately from all other
+ * Draws entries of other writers in the server table. They are drawn separately from all other
  * faults, so that the other faults of a seed that has failed before stay the same.
  */
 final class ForeignEntryFaults {
--- a/soak/src/main/java/org/lockdale/soak/run/Caller.java
+++ b/soak/src/main/java/org/lockdale/soak/run/Caller.java
@@ -168,7 +168,10 @@
         abandons ? random.nextInt(1, MAX_STAY_MILLIS) : 0);
   }
 
-  /** Computed instead of drawn, since a draw would change everything else drawn from the seed. */
+  /**
+   * Returns whether the present request is a crashing one. This is computed instead of drawn, since
+   * a draw would change everything else drawn from the seed.
+   */
   private boolean isCrashingTurn() {
     return (requests + CRASHING_OFFSET * number) % CRASHING_INTERVAL == 0;
   }
--- a/soak/src/main/java/org/lockdale/soak/run/FaultInjector.java
+++ b/soak/src/main/java/org/lockdale/soak/run/FaultInjector.java
@@ -30,7 +30,7 @@
   /** Time from SIGTERM to SIGKILL; also the grace period in the settings of the nodes. */
   static final long GRACE_MILLIS = 8_000;
 
-  /** Time for which a draining server still serves; slightly longer than the bound. */
+  /** Time for which a draining server still serves; exceeds the bound {@code drainMillis}. */
   private static final long DRAIN_MILLIS = 3_200;
 
   /** Time until a server that a request crashed is started again. */
--- a/soak/src/main/java/org/lockdale/soak/run/LoadBalancer.java
+++ b/soak/src/main/java/org/lockdale/soak/run/LoadBalancer.java
@@ -32,7 +32,7 @@
     this.nodes = nodes;
     for (String node : nodes) {
       consecutiveFailures.put(node, FAILURE_THRESHOLD);
-      Thread thread = new Thread(() -> poll(node), "entrance-" + node);
+      Thread thread = new Thread(() -> poll(node), "readiness-" + node);
       thread.setDaemon(true);
       threads.put(node, thread);
       thread.start();
--- a/soak/src/main/java/org/lockdale/soak/run/NodeBuilds.java
+++ b/soak/src/main/java/org/lockdale/soak/run/NodeBuilds.java
@@ -7,38 +7,38 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Selects the build of the gateway that a node runs at each start. If there is a former build,
+ * Selects the build of the gateway that a node runs at each start. If there is a previous build,
  * every second node starts with it and each restart of a node switches to the other build, so that
  * updates and rollbacks happen at any time.
  */
 final class NodeBuilds {
 
   private final GatewayProgram current;
-  private final @Nullable GatewayProgram former;
+  private final @Nullable GatewayProgram previous;
   private final Map<String, Integer> starts = new ConcurrentHashMap<>();
 
   /**
    * A build of the gateway.
    *
    * @param program command and settings of the build
-   * @param isFormer whether it is the former build
+   * @param isPrevious whether it is the previous build
    */
-  record Build(GatewayProgram program, boolean isFormer) {}
+  record Build(GatewayProgram program, boolean isPrevious) {}
 
-  private NodeBuilds(GatewayProgram current, @Nullable GatewayProgram former) {
+  private NodeBuilds(GatewayProgram current, @Nullable GatewayProgram previous) {
     this.current = current;
-    this.former = former;
+    this.previous = previous;
   }
 
   /**
    * Reads the deploy files of the builds.
    *
    * @param root directory of the repository, with the built gateway
-   * @param formerRoot directory of the repository of a former build, or null for none
+   * @param previousRoot directory of the repository of a previous build, or null for none
    */
-  static NodeBuilds read(Path root, @Nullable Path formerRoot) throws IOException {
+  static NodeBuilds read(Path root, @Nullable Path previousRoot) throws IOException {
     return new NodeBuilds(
-        GatewayProgram.read(root), formerRoot == null ? null : GatewayProgram.read(formerRoot));
+        GatewayProgram.read(root), previousRoot == null ? null : GatewayProgram.read(previousRoot));
   }
 
   /** Returns the repository directory of the current build. */
@@ -50,7 +50,7 @@
   Build nextBuild(String node) {
     int start = starts.merge(node, 1, Integer::sum);
     int number = Character.getNumericValue(node.charAt(node.length() - 1));
-    GatewayProgram other = former;
+    GatewayProgram other = previous;
     return other != null && (number + start) % 2 == 0
         ? new Build(other, true)
         : new Build(current, false);
--- a/soak/src/main/java/org/lockdale/soak/run/NoteLog.java
+++ b/soak/src/main/java/org/lockdale/soak/run/NoteLog.java
@@ -63,7 +63,7 @@
   /**
    * Records that a disruption starts now and returns its id.
    *
-   * @param subject process, {@link History#STORE} or {@link History#HOST}
+   * @param subject subject, as {@link Note.DisruptionBegan} defines it
    * @param onLink whether it affects a link
    */
   long recordDisruptionStart(String subject, boolean onLink) {
--- a/soak/src/main/java/org/lockdale/soak/run/PlanFile.java
+++ b/soak/src/main/java/org/lockdale/soak/run/PlanFile.java
@@ -15,7 +15,7 @@
  * and the deployment, then a line for each fault. A stored plan stays the same even if a later
  * version of the code draws other faults from its seed.
  *
- * @param plan the plan
+ * @param plan faults of the run, with its seed and length
  * @param deployment processes for which the plan was drawn
  */
 record PlanFile(FaultPlan plan, Deployment deployment) {
--- a/soak/src/main/java/org/lockdale/soak/run/Processes.java
+++ b/soak/src/main/java/org/lockdale/soak/run/Processes.java
@@ -24,7 +24,7 @@
 import org.lockdale.soak.standin.StandInProcess;
 import org.lockdale.soak.standin.StandardStreams;
 
-/** Starts the processes of a run, each behind the proxy, and processes the stand-ins' output. */
+/** Starts the processes of a run, each behind the proxy, and handles the stand-ins' output. */
 final class Processes implements Closeable {
 
   /** Model that all engines serve. */
@@ -97,8 +97,8 @@
   private final Map<String, Server> servers = new ConcurrentHashMap<>();
   private final Map<String, Integer> idCounts = new ConcurrentHashMap<>();
 
-  /** Ids of the recorded disruptions of nodes that run a former build, by node. */
-  private final Map<String, Long> formerBuildDisruptions = new ConcurrentHashMap<>();
+  /** Ids of the recorded disruptions of nodes that run the previous build, by node. */
+  private final Map<String, Long> previousBuildDisruptions = new ConcurrentHashMap<>();
 
   private volatile @Nullable StoreControl store;
 
@@ -281,12 +281,12 @@
   }
 
   private void recordBuild(String node, NodeBuilds.Build build) {
-    Long disruption = formerBuildDisruptions.remove(node);
+    Long disruption = previousBuildDisruptions.remove(node);
     if (disruption != null) {
       notes.recordDisruptionEnd(disruption);
     }
-    if (build.isFormer()) {
-      formerBuildDisruptions.put(
+    if (build.isPrevious()) {
+      previousBuildDisruptions.put(
           node, notes.recordDisruptionStart(History.previousBuild(node), false));
     }
   }
--- a/soak/src/main/java/org/lockdale/soak/run/SoakCommand.java
+++ b/soak/src/main/java/org/lockdale/soak/run/SoakCommand.java
@@ -51,10 +51,12 @@
   @Option(
       names = "--tell",
       description = "A wrong bound for the nodes, such as bounds.versionMs=60000.")
-  private Map<String, String> told = new HashMap<>();
+  private Map<String, String> boundOverrides = new HashMap<>();
 
-  @Option(names = "--former", description = "Root of a former build to run beside the current one.")
-  private @Nullable Path former;
+  @Option(
+      names = "--former",
+      description = "Root of a previous build to run beside the current one.")
+  private @Nullable Path previousRoot;
 
   @Option(
       names = "--plan",
@@ -62,7 +64,7 @@
   private @Nullable Path planFile;
 
   @Option(names = "--judge", description = "Checks a recorded notes.jsonl again and runs nothing.")
-  private @Nullable Path kept;
+  private @Nullable Path recordedNotes;
 
   @Option(
       names = "--directory",
@@ -77,8 +79,8 @@
 
   @Override
   public Integer call() throws Exception {
-    if (kept != null) {
-      return checkRecordedEvents(kept);
+    if (recordedNotes != null) {
+      return checkRecordedEvents(recordedNotes);
     }
     if (planFile != null) {
       PlanFile read = PlanFile.read(planFile);
@@ -115,7 +117,13 @@
       throws IOException, InterruptedException {
     Path runDirectory = directory.toAbsolutePath().resolve(name);
     SoakResult result =
-        new SoakRun(plan, deployment, Path.of("").toAbsolutePath(), runDirectory, told, former)
+        new SoakRun(
+                plan,
+                deployment,
+                Path.of("").toAbsolutePath(),
+                runDirectory,
+                boundOverrides,
+                previousRoot)
             .run();
     System.out.print(result.text());
     if (result.breaks().isEmpty()) {
--- a/soak/src/main/java/org/lockdale/soak/run/SoakRun.java
+++ b/soak/src/main/java/org/lockdale/soak/run/SoakRun.java
@@ -39,7 +39,7 @@
   private final Path root;
   private final Path directory;
   private final Map<String, String> boundOverrides;
-  private final @Nullable Path former;
+  private final @Nullable Path previousRoot;
 
   /**
    * Creates a run.
@@ -50,8 +50,8 @@
    * @param directory where plan, notes, logs and result are written
    * @param boundOverrides bounds for the nodes that replace those of the checks, by their names in
    *     the deployment's settings; wrong ones show that the checks detect the violations
-   * @param former repository directory of a former build to run beside the current one, or null for
-   *     none
+   * @param previousRoot repository directory of a previous build to run beside the current one, or
+   *     null for none
    */
   public SoakRun(
       FaultPlan plan,
@@ -59,13 +59,13 @@
       Path root,
       Path directory,
       Map<String, String> boundOverrides,
-      @Nullable Path former) {
+      @Nullable Path previousRoot) {
     this.plan = plan;
     this.deployment = deployment;
     this.root = root;
     this.directory = directory;
     this.boundOverrides = Map.copyOf(boundOverrides);
-    this.former = former;
+    this.previousRoot = previousRoot;
   }
 
   /** Runs the plan, stops at the first rule violation, and returns the result. */
@@ -75,7 +75,7 @@
     try (NoteLog notes = new NoteLog(BOUNDS, directory.resolve("notes.jsonl"));
         Processes processes =
             new Processes(
-                deployment, NodeBuilds.read(root, former), settings(), directory, notes)) {
+                deployment, NodeBuilds.read(root, previousRoot), settings(), directory, notes)) {
       Thread cleanup = new Thread(processes::close, "cleaning");
       Runtime.getRuntime().addShutdownHook(cleanup);
       try {
@@ -141,6 +141,7 @@
       if (violations.isEmpty()) {
         callers.stop();
         Thread.sleep(SETTLE_MILLIS);
+        // Ends no disruption; its time shows that earlier events have been fully recorded.
         notes.add(new Note.DisruptionEnded(StandardStreams.nowMillis(), 0));
         violations = findViolations(notes, processes);
       }
--- a/soak/src/main/java/org/lockdale/soak/standin/EngineServer.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/EngineServer.java
@@ -44,7 +44,7 @@
   /** Number of accepted orders, which the reports carry as the revision of the state. */
   private long revision;
 
-  private long highestFence;
+  private long highestFencingToken;
 
   EngineServer(Life incarnation, String service, String model, long weightsVersion) {
     super(incarnation, service);
@@ -92,10 +92,10 @@
     }
     JsonNode body = StandardStreams.MAPPER.readTree(request.body());
     long fence = body.path("fence").asLong();
-    if (fence < highestFence) {
+    if (fence < highestFencingToken) {
       return 412;
     }
-    highestFence = fence;
+    highestFencingToken = fence;
     StandardStreams.writeNote(
         new Note.Ordered(
             StandardStreams.nowMillis(), instance(), body.path("holder").asText(), fence));
@@ -211,7 +211,7 @@
       }
       RawBackend.write(connection, responseHead(request, run));
       int tornId = tornPiece(run, first, pieces);
-      // A stream that continues after its last piece consists of its end alone.
+      // A stream that is resumed after its last event has no events, only the end of the response.
       for (int id = first; id <= pieces; id++) {
         String text = new StreamPiece(id, run, id >= pieces).text();
         if (id == tornId) {
--- a/soak/src/main/java/org/lockdale/soak/standin/ServerBase.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/ServerBase.java
@@ -240,10 +240,10 @@
   }
 
   /** Rejects a request and requests backoff from its node. */
-  private void shed(Received request, Socket connection, long restMillis) throws IOException {
+  private void shed(Received request, Socket connection, long backoffMillis) throws IOException {
     long now = StandardStreams.nowMillis();
     StandardStreams.writeNote(new Note.Rejected(now, instance(), request.id(), UNAVAILABLE));
-    String retryAfter = HeaderNames.RETRY_AFTER + ": " + restMillis / MILLIS_PER_SECOND;
+    String retryAfter = HeaderNames.RETRY_AFTER + ": " + backoffMillis / MILLIS_PER_SECOND;
     respond(
         connection,
         UNAVAILABLE,
@@ -251,7 +251,7 @@
         "",
         HeaderNames.NOT_EXECUTED + ": 1" + drainingHeader(request),
         retryAfter);
-    StandardStreams.writeNote(new Note.RestTold(now, instance(), request.id(), restMillis));
+    StandardStreams.writeNote(new Note.RestTold(now, instance(), request.id(), backoffMillis));
   }
 
   /** Rejects a request with the given status, marked as not run. */
--- a/soak/src/main/java/org/lockdale/soak/standin/StandardStreams.java
+++ b/soak/src/main/java/org/lockdale/soak/standin/StandardStreams.java
@@ -13,9 +13,10 @@
 import org.lockdale.soak.plan.Fault;
 
 /**
- * The lines that a stand-in and the driver exchange, each a word followed by its content. Notes
- * about the handling of requests, except {@link Note.RestTold}, are written before the action that
- * they describe, so that no action goes unrecorded if the process is killed.
+ * The lines that a stand-in and the driver, the process that starts all others, exchange. Each is a
+ * word followed by its content. Notes about the handling of requests, except {@link Note.RestTold},
+ * are written before the action that they describe, so that no action goes unrecorded if the
+ * process is killed.
  */
 public final class StandardStreams {
 
--- a/soak/src/test/java/org/lockdale/soak/judge/LateArrivalTest.java
+++ b/soak/src/test/java/org/lockdale/soak/judge/LateArrivalTest.java
@@ -29,14 +29,14 @@
     return history;
   }
 
-  private static void heldUp(HistoryBuilder history, long from, long until, String what) {
+  private static void addDelay(HistoryBuilder history, long from, long until, String what) {
     history.add(new Note.DisruptionBegan(from, 1_000, what, false));
     history.add(new Note.DisruptionEnded(until, 1_000));
   }
 
-  private static List<String> violationsWhenHeldUp(long from, long until, String what) {
+  private static List<String> violationsWithDelay(long from, long until, String what) {
     HistoryBuilder history = lateArrivals();
-    heldUp(history, from, until, what);
+    addDelay(history, from, until, what);
     return history.violatedRules();
   }
 
@@ -47,16 +47,16 @@
 
   @Test
   public void delaysByTheProxyOrTheServerAreExcused() {
-    assertEquals(violationsWhenHeldUp(T + 20, T + 690, "node-1>" + SERVER), List.of());
-    assertEquals(violationsWhenHeldUp(T + 20, T + 690, History.PROXY), List.of());
-    assertEquals(violationsWhenHeldUp(T + 20, T + 690, History.stalledServer(SERVER)), List.of());
+    assertEquals(violationsWithDelay(T + 20, T + 690, "node-1>" + SERVER), List.of());
+    assertEquals(violationsWithDelay(T + 20, T + 690, History.PROXY), List.of());
+    assertEquals(violationsWithDelay(T + 20, T + 690, History.stalledServer(SERVER)), List.of());
   }
 
   @Test
   public void delaysElsewhereOrAtAnotherTimeAreNotExcused() {
-    assertEquals(violationsWhenHeldUp(T + 20, T + 690, "node-2>" + SERVER), VIOLATED);
-    assertEquals(violationsWhenHeldUp(T + 20, T + 690, "node-1>another"), VIOLATED);
-    assertEquals(violationsWhenHeldUp(T - 900, T - 200, "node-1>" + SERVER), VIOLATED);
-    assertEquals(violationsWhenHeldUp(T + 720, T + 900, History.PROXY), VIOLATED);
+    assertEquals(violationsWithDelay(T + 20, T + 690, "node-2>" + SERVER), VIOLATED);
+    assertEquals(violationsWithDelay(T + 20, T + 690, "node-1>another"), VIOLATED);
+    assertEquals(violationsWithDelay(T - 900, T - 200, "node-1>" + SERVER), VIOLATED);
+    assertEquals(violationsWithDelay(T + 720, T + 900, History.PROXY), VIOLATED);
   }
 }
--- a/soak/src/test/java/org/lockdale/soak/judge/RateRulesTest.java
+++ b/soak/src/test/java/org/lockdale/soak/judge/RateRulesTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** A server that advertises two requests per second may receive 17 within four seconds. */
+/** Checks rule LIMIT with a rate of two per second, which allows 17 requests in four seconds. */
 public final class RateRulesTest {
 
   private static final long T = 100_000;
@@ -47,18 +47,18 @@
     assertEquals(
         violatesLimit(history(18).add(new Note.DisruptionBegan(T + 500, 7, "node-1", false))),
         false);
-    HistoryBuilder untold = new HistoryBuilder().add(new Note.RateNamed(T, SERVER, 2.0));
+    HistoryBuilder uninformed = new HistoryBuilder().add(new Note.RateNamed(T, SERVER, 2.0));
     for (int request = 0; request < 30; request++) {
-      untold.add(HistoryBuilder.sent(T + 1_000, "r" + request, RequestKind.SAFE));
-      untold.add(new Note.Arrived(T + 3_500, SERVER, "pool", "r" + request));
+      uninformed.add(HistoryBuilder.sent(T + 1_000, "r" + request, RequestKind.SAFE));
+      uninformed.add(new Note.Arrived(T + 3_500, SERVER, "pool", "r" + request));
     }
-    assertEquals(violatesLimit(untold), false);
+    assertEquals(violatesLimit(uninformed), false);
   }
 
   /**
    * A server advertised a rate again 13 s after it had withdrawn it, and nothing was sent to it in
    * between; seven requests were in flight when the first response with the new rate arrived. The
-   * former rate must not be applied to them.
+   * previous rate must not be applied to them.
    */
   @Test
   public void ratesFromBeforeAPauseDoNotApplyAfterIt() {
--- a/soak/src/test/java/org/lockdale/soak/judge/RuleCheckerTest.java
+++ b/soak/src/test/java/org/lockdale/soak/judge/RuleCheckerTest.java
@@ -30,7 +30,7 @@
   private static final long T = 100_000;
   private static final Map<String, String> KEYS = Map.of(KEY, "tenant-1", OTHER_KEY, "tenant-2");
 
-  private static Note.Answered cut(String id, String run, String body) {
+  private static Note.Answered truncated(String id, String run, String body) {
     return new Note.Answered(T + 90, id, 200, run, body, false);
   }
 
@@ -57,8 +57,8 @@
     return new Object[][] {
       {"TWICE", "an unsafe request runs twice", ranTwice(RequestKind.UNSAFE)},
       {"TWICE", "a stream that may not be resumed runs twice", ranTwice(RequestKind.STREAM)},
-      {"REFUSED", "a request that ran is rejected with 503", refused(RequestKind.UNSAFE, 503)},
-      {"REFUSED", "a request that ran is rejected with 429", refused(RequestKind.STREAM, 429)},
+      {"REFUSED", "a request that ran is rejected with 503", rejected(RequestKind.UNSAFE, 503)},
+      {"REFUSED", "a request that ran is rejected with 429", rejected(RequestKind.STREAM, 429)},
       {"UNASKED", "no caller sent it", new HistoryBuilder().add(begun(T, "r", "run"))},
       {
         "UNASKED",
@@ -119,7 +119,7 @@
       {"VERSION", "outdated weights for too long", weights(8_100)},
       {"ROUTE", "a service that never had the route", atService("elsewhere")},
       {"CONFIG", "the former service runs it too late", movedRoute("node-1", 2_500, "pool")},
-      {"CONFIG", "denied although the route exists", refusedRoute()},
+      {"CONFIG", "denied although the route exists", deniedRoute()},
       {"CONFIG", "a node returns to an older configuration", regressed("node-1")},
       {"CONFIG", "a revoked key is served by a disrupted node", revoked(5_100)},
       {"CONFIG", "requests are kept past their timeout", overdue(9)},
@@ -148,8 +148,8 @@
     return new Object[][] {
       {"a safe request may run twice", ranTwice(RequestKind.SAFE)},
       {"a resumable stream may run twice", ranTwice(RequestKind.RESUMABLE)},
-      {"an idempotent request may be rejected after a run", refused(RequestKind.SAFE, 503)},
-      {"502 does not imply that the request has not run", refused(RequestKind.UNSAFE, 502)},
+      {"an idempotent request may be rejected after a run", rejected(RequestKind.SAFE, 503)},
+      {"502 does not imply that the request has not run", rejected(RequestKind.UNSAFE, 502)},
       {"a truncated stream", stream(RequestKind.STREAM, pieces("run-1", 1, 3, false), false)},
       {
         "a stream continued at the requested event",
@@ -207,7 +207,7 @@
         .add(begun(T + 60, "r", "run-2"));
   }
 
-  private static HistoryBuilder refused(RequestKind kind, int status) {
+  private static HistoryBuilder rejected(RequestKind kind, int status) {
     return new HistoryBuilder()
         .add(answered(T + 90, "r", status, null, ""))
         .add(begun(T + 5, "r", "run-1"))
@@ -239,7 +239,7 @@
         .add(answered(T + 55, "q", 200, "run-r", "answer"));
   }
 
-  private static HistoryBuilder stream(RequestKind kind, String body, boolean whole) {
+  private static HistoryBuilder stream(RequestKind kind, String body, boolean complete) {
     HistoryBuilder history =
         new HistoryBuilder().add(sent(T, "r", kind)).add(begun(T + 5, "r", "run-1"));
     if (kind.isIdempotent() || body.contains("run-2")) {
@@ -248,7 +248,8 @@
     if (body.contains("run-2") && kind.isIdempotent()) {
       history.add(continued(T + 60, "r", "run-2", 2));
     }
-    return history.add(whole ? answered(T + 90, "r", 200, "run-1", body) : cut("r", "run-1", body));
+    return history.add(
+        complete ? answered(T + 90, "r", 200, "run-1", body) : truncated("r", "run-1", body));
   }
 
   private static HistoryBuilder parts(String tenant, String maker, long weights, long madeWeights) {
@@ -288,7 +289,7 @@
         .add(begunWith(T + after + 5, "r", "run-1", facts(), service, "tenant-1", 0));
   }
 
-  private static HistoryBuilder refusedRoute() {
+  private static HistoryBuilder deniedRoute() {
     return new HistoryBuilder()
         .configuration(2, T - 50_000, Map.of("/always/", new RouteFacts("pool", 4_000, 2)), KEYS)
         .configuration(3, T, routes("pool"), KEYS)
--- a/soak/src/test/java/org/lockdale/soak/link/LinkProxyTest.java
+++ b/soak/src/test/java/org/lockdale/soak/link/LinkProxyTest.java
@@ -19,7 +19,7 @@
 public final class LinkProxyTest {
 
   private static final String SERVER = "server";
-  private static final int PATIENCE_MILLIS = 10_000;
+  private static final int TIMEOUT_MILLIS = 10_000;
 
   /** Time without a response after which a link counts as silent; a working one needs less. */
   private static final int SILENCE_MILLIS = 300;
@@ -50,13 +50,13 @@
   }
 
   private RawCaller open() throws IOException {
-    RawCaller caller = new RawCaller(proxied, PATIENCE_MILLIS);
+    RawCaller caller = new RawCaller(proxied, TIMEOUT_MILLIS);
     assertEquals(call(caller), "echo");
     return caller;
   }
 
   private static String call(RawCaller caller) throws IOException {
-    caller.setReadTimeout(PATIENCE_MILLIS);
+    caller.setReadTimeout(TIMEOUT_MILLIS);
     sendRequest(caller);
     return caller.read().body();
   }
@@ -65,11 +65,11 @@
     caller.send("GET /x HTTP/1.1\r\nHost: server\r\n\r\n");
   }
 
-  private void harm(LinkTrouble trouble) {
+  private void inject(LinkTrouble trouble) {
     proxy.inject(Deployment.CALLERS, SERVER, trouble);
   }
 
-  private void heal(LinkTrouble trouble) {
+  private void remove(LinkTrouble trouble) {
     proxy.remove(Deployment.CALLERS, SERVER, trouble);
   }
 
@@ -86,13 +86,13 @@
     for (LinkTrouble cut : new LinkTrouble[] {LinkTrouble.CUT_FORTH, LinkTrouble.CUT_BACK}) {
       server.received().clear();
       try (RawCaller caller = open()) {
-        harm(cut);
+        inject(cut);
         sendRequest(caller);
         caller.setReadTimeout(SILENCE_MILLIS);
         assertThrows(SocketTimeoutException.class, caller::read);
         assertEquals(server.received().size(), cut == LinkTrouble.CUT_FORTH ? 1 : 2);
-        heal(cut);
-        caller.setReadTimeout(PATIENCE_MILLIS);
+        remove(cut);
+        caller.setReadTimeout(TIMEOUT_MILLIS);
         assertEquals(caller.read().body(), "echo");
       }
     }
@@ -102,7 +102,7 @@
   public void aResetEndsOpenConnections() throws IOException {
     try (RawCaller caller = open();
         RawCaller next = open()) {
-      harm(LinkTrouble.RESET);
+      inject(LinkTrouble.RESET);
       assertEquals(caller.read().status(), 0);
       assertEquals(next.read().status(), 0);
     }
@@ -112,8 +112,8 @@
   @Test
   public void aSilencedConnectionStaysSilentWhileNewOnesWork() throws IOException {
     try (RawCaller caller = open()) {
-      harm(LinkTrouble.SILENCED);
-      heal(LinkTrouble.SILENCED);
+      inject(LinkTrouble.SILENCED);
+      remove(LinkTrouble.SILENCED);
       caller.setReadTimeout(SILENCE_MILLIS);
       sendRequest(caller);
       assertThrows(SocketTimeoutException.class, caller::read);
@@ -124,10 +124,10 @@
   @Test
   public void aDelayedLinkPassesEverythingInOrder() throws IOException {
     try (RawCaller caller = open()) {
-      harm(LinkTrouble.DELAYED);
+      inject(LinkTrouble.DELAYED);
       assertEquals(call(caller), "echo");
       sendRequest(caller);
-      heal(LinkTrouble.DELAYED);
+      remove(LinkTrouble.DELAYED);
       sendRequest(caller);
       assertEquals(caller.read().body(), "echo");
       assertEquals(caller.read().body(), "echo");
--- a/soak/src/test/java/org/lockdale/soak/run/SoakRunTest.java
+++ b/soak/src/test/java/org/lockdale/soak/run/SoakRunTest.java
@@ -25,13 +25,13 @@
     runPlan(1);
   }
 
-  /** Separate from the other seed, so that a known failure of this one hides none of that one. */
+  /** Separate from seed 1, so that a known failure of this seed does not hide a failure of that. */
   @Test
   public void noRuleIsBrokenWhileWitnessesOfEndsAreKilled() throws Exception {
     runPlan(2);
   }
 
-  /** Names of recorded plans, after what happened when they were first run. */
+  /** Names of recorded plans; each describes what happened when the plan was first run. */
   @DataProvider(parallel = true)
   public static Object[][] recordedPlans() {
     return new Object[][] {
