--- a/specification/src/main/resources/org/lockdale/specification/lease.als
+++ b/specification/src/main/resources/org/lockdale/specification/lease.als
@@ -47,7 +47,7 @@
   readingsSame and rowSame and heldEnd' = heldEnd and acted' = acted
 }
 
-// Lease.observed: the node reads the row
+// Lease.recordRead: the node reads the row
 pred observe [n : Node] {
   readVersion' = readVersion ++ n -> Row.version
   readAt' = readAt ++ n -> Clock.now
--- a/specification/src/main/resources/org/lockdale/specification/run-once.als
+++ b/specification/src/main/resources/org/lockdale/specification/run-once.als
@@ -3,7 +3,7 @@
  * of the engine.
  *
  * A table row is created by a conditional write whose response may be lost and which may take effect
- * late. Each action is named after the method that implements it. Guards.on holds the guards that are
+ * late. The comment of each action names the method that implements it. Guards.on holds the guards that are
  * enforced; the tests check that removing any one of them gives a counterexample.
  */
 module runOnce
@@ -142,7 +142,7 @@
   Sent' = Sent
 }
 
-// ClaimStep.resolveHolder: another node ends the row as not run, after the engine, in the same
+// ClaimStep.takeOverClaim: another node ends the row as not run, after the engine, in the same
 // incarnation, confirmed that the attempt never started
 pred resolveHolder [a : Attempt] {
   Row.holder = a and Row.state = Claimed
