--- a/soak/src/main/java/org/lockdale/soak/run/NodeBuilds.java
+++ b/soak/src/main/java/org/lockdale/soak/run/NodeBuilds.java
@@ -21,9 +21,9 @@
    * A build of the gateway.
    *
    * @param program command and settings of the build
-   * @param isPrevious whether it is the previous build
+   * @param isFormer whether it is the previous build
    */
-  record Build(GatewayProgram program, boolean isPrevious) {}
+  record Build(GatewayProgram program, boolean isFormer) {}
 
   private NodeBuilds(GatewayProgram current, @Nullable GatewayProgram previous) {
     this.current = current;
--- a/soak/src/main/java/org/lockdale/soak/run/Processes.java
+++ b/soak/src/main/java/org/lockdale/soak/run/Processes.java
@@ -285,7 +285,7 @@
     if (disruption != null) {
       notes.recordDisruptionEnd(disruption);
     }
-    if (build.isPrevious()) {
+    if (build.isFormer()) {
       previousBuildDisruptions.put(
           node, notes.recordDisruptionStart(History.previousBuild(node), false));
     }
