--- a/http/src/main/java/org/lockdale/http/ConnectionPool.java
+++ b/http/src/main/java/org/lockdale/http/ConnectionPool.java
@@ -35,8 +35,8 @@
   /**
    * Seconds without traffic after which the operating system sends the first TCP keepalive probe.
    * While no data is due on a connection, only these probes detect that the peer is unreachable.
-   * With two probes a second apart, that takes three seconds in all: each of the times is at least
-   * one second, and a single probe may be lost on the network.
+   * Detection takes three seconds: this time and two probe intervals. These times can't be shorter
+   * than one second, and two probes are sent because a single one may be lost on the network.
    */
   private static final int KEEP_ALIVE_IDLE_SECONDS = 1;
 
@@ -49,8 +49,8 @@
   private record Key(EventLoop eventLoop, InetSocketAddress address) {
 
     /**
-     * Written by hand, because the generated method of a record is linked at run time, anew in each
-     * process that calls it.
+     * Implemented explicitly, since the method that is generated for records is linked at run time
+     * in every process that calls it.
      */
     @Override
     public boolean equals(Object other) {
--- a/http/src/main/java/org/lockdale/http/HttpBindException.java
+++ b/http/src/main/java/org/lockdale/http/HttpBindException.java
@@ -11,7 +11,7 @@
    * Creates an exception.
    *
    * @param address the address that can't be bound
-   * @param cause why
+   * @param cause reason why it can't be bound
    */
   public HttpBindException(InetSocketAddress address, Throwable cause) {
     super(
--- a/http/src/main/java/org/lockdale/http/HttpServer.java
+++ b/http/src/main/java/org/lockdale/http/HttpServer.java
@@ -26,7 +26,10 @@
   /** Connections that may wait to be accepted. */
   static final int LISTEN_BACKLOG = 4096;
 
-  /** Netty's default for sockets; after as many reads, other connections get their turn. */
+  /**
+   * Maximum number of reads from one connection before others get their turn; Netty's default for
+   * sockets.
+   */
   private static final int MAX_CONSECUTIVE_READS = 16;
 
   /**
--- a/http/src/main/java/org/lockdale/http/LoopbackPorts.java
+++ b/http/src/main/java/org/lockdale/http/LoopbackPorts.java
@@ -30,8 +30,8 @@
   private static final int MAX_TRIES = 1_000;
 
   /**
-   * Number of returned ports, half of the range, above which they are forgotten. By then the first
-   * ones have long been bound or will never be.
+   * Number of returned ports above which all of them are forgotten: half of the range. By then the
+   * first ones have long been bound or will never be.
    */
   private static final int MAX_ASSIGNED = (END_PORT - FIRST_PORT) / 2;
 
--- a/http/src/main/java/org/lockdale/http/ServerSentEventDecoder.java
+++ b/http/src/main/java/org/lockdale/http/ServerSentEventDecoder.java
@@ -22,7 +22,7 @@
     void onEvent(long id, ByteBuf event);
   }
 
-  /** Id of an event without an id line or whose id is not a number. */
+  /** Id of an event that has no id line or whose id is not a number. */
   public static final long NO_ID = -1;
 
   /** The event that ends a stream of the OpenAI API. */
--- a/openai/src/main/java/org/lockdale/openai/package-info.java
+++ b/openai/src/main/java/org/lockdale/openai/package-info.java
@@ -1,4 +1,4 @@
-/** Types of the OpenAI-compatible API, shared by the daemon and the stand-ins. */
+/** Types of the OpenAI-compatible API, shared by the router, the command line and the stand-ins. */
 @NullMarked
 package org.lockdale.openai;
 
--- a/protocol/src/main/java/org/lockdale/protocol/MessageCodec.java
+++ b/protocol/src/main/java/org/lockdale/protocol/MessageCodec.java
@@ -87,7 +87,9 @@
     return of(0x57EF1CA75E9A5A1BL, NamedWeightsRecord::readFrom);
   }
 
-  /** Returns a codec of suspect requests, under which backends crashed, in the table service. */
+  /**
+   * Returns a codec of suspect requests, which ran at backends that crashed, in the table service.
+   */
   public static MessageCodec<SuspectRecord> suspects() {
     return of(0x8EBE42B1758027B4L, SuspectRecord::readFrom);
   }
--- a/settings/src/main/java/org/lockdale/settings/JsonTrees.java
+++ b/settings/src/main/java/org/lockdale/settings/JsonTrees.java
@@ -14,7 +14,7 @@
 /**
  * Reads and writes {@link JsonNode} trees without an object mapper. An object mapper also
  * initializes the support of dates, annotations and classes, which takes 50 of the 440 ms of
- * processor time of the start of a node.
+ * processor time that a node needs to start.
  */
 public final class JsonTrees {
 
--- a/settings/src/main/java/org/lockdale/settings/SettingsLoader.java
+++ b/settings/src/main/java/org/lockdale/settings/SettingsLoader.java
@@ -53,7 +53,7 @@
     try (JsonParser parser = new YAMLFactory().createParser(Files.readString(file))) {
       JsonNode root = JsonTrees.read(parser);
       if (!root.isObject()) {
-        problems.add(file + ": write one 'key: value' a line.");
+        problems.add(file + ": write one 'key: value' per line.");
         return;
       }
       for (Map.Entry<String, JsonNode> entry : root.properties()) {
