--- a/coordination/src/main/java/org/lockdale/coordination/claim/RunOnceClaims.java
+++ b/coordination/src/main/java/org/lockdale/coordination/claim/RunOnceClaims.java
@@ -78,8 +78,9 @@
               if (failure == null) {
                 return CompletableFuture.completedFuture(row);
               }
-              boolean lost = kindOf(failure) == TableServiceException.Kind.OUTCOME_UNKNOWN;
-              if (lost && attemptsLeft > 1) {
+              boolean mayHaveTakenEffect =
+                  kindOf(failure) == TableServiceException.Kind.OUTCOME_UNKNOWN;
+              if (mayHaveTakenEffect && attemptsLeft > 1) {
                 return create(key, record, attemptsLeft - 1);
               }
               return CompletableFuture.<TableRow>failedFuture(Failures.causeOf(failure));
--- a/coordination/src/main/java/org/lockdale/coordination/membership/MembershipListener.java
+++ b/coordination/src/main/java/org/lockdale/coordination/membership/MembershipListener.java
@@ -4,6 +4,6 @@
 @FunctionalInterface
 public interface MembershipListener {
 
-  /** Called after a member was added or what is known of it was replaced. */
+  /** Called after a member was added or its known state was replaced. */
   void memberChanged(Member member);
 }
--- a/coordination/src/main/java/org/lockdale/coordination/membership/MembershipState.java
+++ b/coordination/src/main/java/org/lockdale/coordination/membership/MembershipState.java
@@ -285,7 +285,8 @@
       probeIfStillDead(sender, outbound);
     }
     if (wasDead || message.getBody() instanceof TableContents && applied > 0) {
-      // A node that has just received many updates probably misses more: compares tables soon.
+      // A node that applied updates from a table, or was contacted by a member that it knew as
+      // dead, probably lacks more updates, so it compares tables soon.
       nextSyncAtMillis =
           Math.min(nextSyncAtMillis, nowMillis + jittered(settings.fullTableIntervalMillis()));
     }
--- a/coordination/src/main/java/org/lockdale/coordination/node/CoordinationListener.java
+++ b/coordination/src/main/java/org/lockdale/coordination/node/CoordinationListener.java
@@ -6,7 +6,7 @@
 /** Receives the state changes of a {@link CoordinationNode}, on the thread that drives it. */
 public interface CoordinationListener {
 
-  /** Called after a member was added or what is known of it was replaced. */
+  /** Called after a member was added or its known state was replaced. */
   void memberChanged(Member member);
 
   /** Called after a newer configuration took effect at this node. */
--- a/coordination/src/main/java/org/lockdale/coordination/node/CoordinationNode.java
+++ b/coordination/src/main/java/org/lockdale/coordination/node/CoordinationNode.java
@@ -117,7 +117,7 @@
   /**
    * Applies configuration from a peer or from the table service.
    *
-   * @return announcements to send; empty if the version did not rise
+   * @return announcements to send; empty if the version did not increase
    */
   public List<Outbound> accept(ConfigurationTransfer transfer) {
     List<Outbound> outbound = new ArrayList<>();
--- a/coordination/src/main/java/org/lockdale/coordination/simulation/SimulatedCluster.java
+++ b/coordination/src/main/java/org/lockdale/coordination/simulation/SimulatedCluster.java
@@ -26,7 +26,7 @@
  */
 public final class SimulatedCluster {
 
-  /** Size of the authentication code and of the UDP and IPv4 headers of a message. */
+  /** Size of the authentication code and of the UDP and IPv4 headers of a message, in bytes. */
   private static final int OVERHEAD_BYTES = 16 + 8 + 20;
 
   private static final long TICK_MICROS = 100_000;
@@ -35,7 +35,7 @@
 
   /** Receives the state changes of all nodes. */
   public interface Observer {
-    /** Called after a node added a member or changed what it knows of one. */
+    /** Called after a node added a member or replaced its known state. */
     void memberChanged(SimulatedNode node, Member member);
 
     /** Called after a configuration version took effect at a node. */
@@ -190,8 +190,8 @@
   }
 
   /**
-   * Returns the number of ordered pairs of running nodes in which the first has the second as
-   * alive.
+   * Returns the number of ordered pairs of nodes that are up, even if paused, in which the first
+   * knows the second as alive.
    */
   public long alivePairs() {
     long pairs = 0;
@@ -208,7 +208,7 @@
     return pairs;
   }
 
-  /** Returns whether every running node has all other running nodes as alive. */
+  /** Returns whether every node that is up knows all other nodes that are up as alive. */
   public boolean isConverged() {
     long up = nodes.values().stream().filter(SimulatedNode::isUp).count();
     return alivePairs() == up * (up - 1);
--- a/coordination/src/main/java/org/lockdale/coordination/table/InMemoryTables.java
+++ b/coordination/src/main/java/org/lockdale/coordination/table/InMemoryTables.java
@@ -43,7 +43,10 @@
     return reads.get();
   }
 
-  /** Returns the number of attempted writes, without those that failed the version check. */
+  /**
+   * Returns the number of attempted writes, excluding replacements of rows that were absent or had
+   * another version.
+   */
   public long writeCount() {
     return writes.get();
   }
--- a/coordination/src/main/java/org/lockdale/coordination/time/SystemTime.java
+++ b/coordination/src/main/java/org/lockdale/coordination/time/SystemTime.java
@@ -10,9 +10,10 @@
  * <p>The steady clock of the system stops during a suspension, so that a node would treat an
  * expired lease or outdated state as valid after it has resumed, and act on it. The only clock of
  * the JVM that includes suspensions is the wall clock, which also jumps when it is set. A forward
- * jump of the wall clock relative to the steady clock therefore counts as a suspension. If it was
- * none, leases and cached state expire early and are renewed sooner than necessary. A backward jump
- * is ignored. All users of {@link #instance} share the detected suspensions.
+ * jump of the wall clock relative to the steady clock therefore counts as a suspension. If the
+ * clock was only set ahead, leases and cached state expire early and are renewed sooner than
+ * necessary. A backward jump is ignored. All users of {@link #instance} share the detected
+ * suspensions.
  */
 public final class SystemTime implements Time {
 
--- a/coordination/src/test/java/org/lockdale/coordination/claim/RunOnceClaimsTest.java
+++ b/coordination/src/test/java/org/lockdale/coordination/claim/RunOnceClaimsTest.java
@@ -155,8 +155,8 @@
       answeredRepeats += contest.complete;
       runs += contest.ran.size();
     }
-    assertTrue(answeredRepeats > 0, "no repeat ever got the stored answer");
-    assertTrue(runs > SEEDS / 2, "hardly anything ran: " + runs);
+    assertTrue(answeredRepeats > 0, "no repeat got the stored response");
+    assertTrue(runs > SEEDS / 2, "too few attempts ran: " + runs);
   }
 
   /** Verifies that the simulation detects a fault: without conditional writes two attempts run. */
--- a/coordination/src/test/java/org/lockdale/coordination/lease/LeaseTest.java
+++ b/coordination/src/test/java/org/lockdale/coordination/lease/LeaseTest.java
@@ -295,7 +295,7 @@
       List<Action> actions = simulation.run();
       assertEquals(simulation.violation(), null, "seed " + seed);
       long last = actions.get(actions.size() - 1).atMillis();
-      assertTrue(last > RUN_MILLIS - 20_000, "seed " + seed + ": nobody since " + last);
+      assertTrue(last > RUN_MILLIS - 20_000, "seed " + seed + ": no node acted after " + last);
     }
   }
 
