--- a/coordination/src/main/java/org/lockdale/coordination/membership/MembershipSettings.java
+++ b/coordination/src/main/java/org/lockdale/coordination/membership/MembershipSettings.java
@@ -3,7 +3,7 @@
 /**
  * Timing and fan-out of membership. All times are in milliseconds.
  *
- * @param probeIntervalMillis time between two probes of one node
+ * @param probeIntervalMillis time between two probes that a node sends
  * @param probeTimeoutMillis time without an acknowledgement after which a direct probe is followed
  *     by indirect ones
  * @param indirectProbes number of members that are requested to probe on behalf of this node
