--- a/router/src/main/java/org/lockdale/router/engine/EngineClient.java
+++ b/router/src/main/java/org/lockdale/router/engine/EngineClient.java
@@ -56,7 +56,7 @@
     return client.send(eventLoop, engine.address(), request, listener);
   }
 
-  /** Resumes a stream after the event with an id. */
+  /** Resumes a stream after the event {@code lastEventId}, or from its start if that is -1. */
   public HttpCall resume(
       EventLoop eventLoop,
       EngineView engine,
@@ -94,9 +94,9 @@
         .exchange(engine.address(), request, CONTROL_TIMEOUT)
         .handle(
             (reply, failure) -> {
-              boolean answered = failure == null && reply.status() == OK;
+              boolean responded = failure == null && reply.status() == OK;
               boolean sameIncarnation =
-                  answered
+                  responded
                       && engine
                           .incarnation()
                           .equals(reply.headers().get(HeaderNames.ENGINE_INCARNATION));
--- a/router/src/main/java/org/lockdale/router/engine/EngineLoad.java
+++ b/router/src/main/java/org/lockdale/router/engine/EngineLoad.java
@@ -8,7 +8,7 @@
  * @param pendingPromptTokens number of prompt tokens not yet computed
  * @param maxRunning maximum number of sequences in its batch
  * @param prefillTokensPerSecond prefill speed
- * @param reportedAtMillis monotonic time at which the report was received
+ * @param reportedAtMillis monotonic time at which the report was received, in milliseconds
  */
 public record EngineLoad(
     int running,
--- a/router/src/main/java/org/lockdale/router/engine/EngineReport.java
+++ b/router/src/main/java/org/lockdale/router/engine/EngineReport.java
@@ -8,7 +8,7 @@
  *
  * @param id engine id
  * @param incarnation changes with every restart
- * @param labels labels of the engine
+ * @param labels labels of the engine, or null if the report has none
  * @param leaving whether it is draining and accepts no new work
  * @param weights weights version by model
  * @param running number of sequences in the batch
--- a/router/src/main/java/org/lockdale/router/error/ErrorKind.java
+++ b/router/src/main/java/org/lockdale/router/error/ErrorKind.java
@@ -5,30 +5,30 @@
 
 /** Kinds of errors that callers receive, each with a default outcome of the request. */
 public enum ErrorKind {
-  /** No bearer token. */
+  /** The request has no bearer token. */
   MISSING_API_KEY(401, Group.AUTHENTICATION, "Send 'Authorization: Bearer KEY'.", 0),
   /** The key belongs to no tenant. */
   INVALID_API_KEY(
       401, Group.AUTHENTICATION, "Check the key, or ask your operator for a valid one.", 0),
   /** The request sets a label that is reserved or that its tenant has with another value. */
   LABEL_NOT_ALLOWED(403, Group.PERMISSION, "Remove the label from 'metadata'.", 0),
-  /** No such model or adapter. */
+  /** The model or adapter does not exist. */
   UNKNOWN_MODEL(404, Group.INVALID, "See GET /v1/models for the available models.", 0),
-  /** No such path. */
+  /** The path does not exist. */
   UNKNOWN_PATH(404, Group.INVALID, "See docs/CALLERS.md for the available paths.", 0),
-  /** The path does not take the method. */
+  /** The path does not accept the method. */
   METHOD_NOT_ALLOWED(405, Group.INVALID, "Use the method the path takes.", 0),
-  /** The body is not JSON. */
+  /** The content type of the body is not JSON. */
   UNSUPPORTED_MEDIA_TYPE(415, Group.INVALID, "Send 'Content-Type: application/json'.", 0),
   /** The body or a header is invalid. */
   INVALID_REQUEST(400, Group.INVALID, "Correct the field.", 0),
   /** The request violated HTTP or a size limit. */
   PROTOCOL_ERROR(400, Group.INVALID, "Correct the request.", 0),
-  /** The deadline passed before the request was answered. */
+  /** The deadline passed before the response was complete. */
   DEADLINE_EXPIRED(504, Group.TIMEOUT, "Ask again with a later deadline.", 1),
   /** The tenant is at its limit. */
   TENANT_LIMIT(429, Group.RATE_LIMIT, "Send fewer requests at once.", 1),
-  /** The engines are too busy to answer in time. */
+  /** The engines are too busy to start the request in time. */
   OVERLOADED(503, Group.OVERLOAD, "Retry after the time in 'Retry-After'.", 2),
   /** No route matches the request's labels. */
   NO_ROUTE(403, Group.PERMISSION, "Ask your operator for a matching route.", 0),
--- a/router/src/main/java/org/lockdale/router/operator/Explainer.java
+++ b/router/src/main/java/org/lockdale/router/operator/Explainer.java
@@ -97,7 +97,7 @@
   private static String describeChoice(Placement placement) {
     return String.format(
         Locale.ROOT,
-        "least expected time to first token: %.1f ms, %d prompt tokens estimated to be cached",
+        "lowest cost; first token expected in %.1f ms, %d prompt tokens estimated to be cached",
         placement.expectedMillis(),
         placement.estimatedCachedTokens());
   }
--- a/router/src/main/java/org/lockdale/router/operator/NodeStatus.java
+++ b/router/src/main/java/org/lockdale/router/operator/NodeStatus.java
@@ -8,7 +8,7 @@
  *
  * @param node node id
  * @param zone zone
- * @param phase starting, serving or stopping
+ * @param phase {@code STARTING}, {@code SERVING} or {@code STOPPING}
  * @param configurationVersion version in force
  * @param requestsInFlight number of requests that have not ended
  * @param requestsQueued number of requests that wait for an engine
--- a/router/src/main/java/org/lockdale/router/placement/CacheSalt.java
+++ b/router/src/main/java/org/lockdale/router/placement/CacheSalt.java
@@ -8,7 +8,7 @@
  * Salt that separates the cached blocks of different scopes. It is sent with each request to its
  * engine and mixed into every block hash by both the node and the engine.
  *
- * @param value value of the header
+ * @param value salt in hexadecimal, as sent in the header
  */
 public record CacheSalt(String value) {
 
--- a/router/src/main/java/org/lockdale/router/placement/EngineChooser.java
+++ b/router/src/main/java/org/lockdale/router/placement/EngineChooser.java
@@ -9,12 +9,13 @@
 import org.lockdale.router.policy.Priority;
 
 /**
- * Chooses the engine of least cost: the expected time to the first token (waiting, prefill of
- * uncached tokens, network latency), with prefill weighted higher than the time it takes. Engines
- * that rendezvous hashing selects for a request's group of prompts are assumed to hold their shared
- * prefix, since all nodes send the group there; other engines are assumed to hold a part of what
- * this node observed. A pure function of its arguments. The weights are based on simulations by
- * {@code lockdale experiment run}; see docs/design/0002-placement.md.
+ * Chooses the engine of least cost. The cost is the expected time to the first token (waiting,
+ * prefill of uncached tokens, network latency), in which prefill counts several times. Prompts that
+ * begin with the same blocks form a group, and all nodes send a group to the engines that
+ * rendezvous hashing selects for it, so these are assumed to hold the shared prefix; other engines
+ * are assumed to hold a part of what this node observed. A pure function of its arguments. The
+ * weights are based on simulations by {@code lockdale experiment run}; see
+ * docs/design/0002-placement.md.
  */
 public final class EngineChooser {
 
--- a/router/src/main/java/org/lockdale/router/placement/GroupHomes.java
+++ b/router/src/main/java/org/lockdale/router/placement/GroupHomes.java
@@ -4,9 +4,9 @@
 import org.lockdale.router.engine.EngineView;
 
 /**
- * The home engines of a group of prompts, to which all nodes send its requests: the first in the
- * order of rendezvous hashing, more of them the larger the group's share of requests is, so that no
- * single engine has to serve it all. Built for one decision.
+ * The home engines of a group of prompts, to which all nodes send the group's requests. They are
+ * the first engines in the order of rendezvous hashing. A group with a larger share of the requests
+ * has more homes, so that no single engine has to serve it all. Built for one decision.
  */
 final class GroupHomes {
 
--- a/router/src/main/java/org/lockdale/router/platform/Machine.java
+++ b/router/src/main/java/org/lockdale/router/platform/Machine.java
@@ -11,8 +11,8 @@
  * @param zone zone
  * @param host IP address
  * @param port port of the machine's main service
- * @param state {@code live} or {@code leaving}, the latter when it will be removed
- * @param labels labels of the machine
+ * @param state {@code live}, or {@code leaving} while the machine is draining and will be removed
+ * @param labels labels of the machine, or null if the entry has none
  */
 @JsonIgnoreProperties(ignoreUnknown = true)
 public record Machine(
--- a/router/src/main/java/org/lockdale/router/request/DrainRate.java
+++ b/router/src/main/java/org/lockdale/router/request/DrainRate.java
@@ -13,7 +13,7 @@
   private double gapMillis = INITIAL_GAP_MILLIS;
   private long lastStartMillis = Long.MIN_VALUE;
 
-  synchronized void started(long nowMillis) {
+  synchronized void recordStart(long nowMillis) {
     if (lastStartMillis != Long.MIN_VALUE) {
       long gap = Math.min(MAX_GAP_MILLIS, nowMillis - lastStartMillis);
       gapMillis += SMOOTHING * (gap - gapMillis);
--- a/router/src/main/java/org/lockdale/router/request/EngineAttempt.java
+++ b/router/src/main/java/org/lockdale/router/request/EngineAttempt.java
@@ -72,7 +72,10 @@
     return result;
   }
 
-  /** Cancels the attempt; its result completes after the engine was queried whether it ran. */
+  /**
+   * Cancels the attempt. Its result completes once the engine has reported the state of the attempt
+   * or has failed to respond.
+   */
   void cancel(String reason) {
     if (result.isDone()) {
       return;
@@ -200,20 +203,20 @@
   }
 
   private void finishRejected() {
-    String reason = body == null ? "" : body.toString(StandardCharsets.UTF_8);
+    String json = body == null ? "" : body.toString(StandardCharsets.UTF_8);
     finish(
         new AttemptResult.NotStarted(
-            "the engine returned status " + status + " " + extractErrorCode(reason)));
+            "the engine returned status " + status + " " + extractErrorCode(json)));
   }
 
-  private static String extractErrorCode(String reason) {
-    int start = reason.indexOf("\"code\":\"");
+  private static String extractErrorCode(String json) {
+    int start = json.indexOf("\"code\":\"");
     if (start < 0) {
       return "";
     }
     int from = start + "\"code\":\"".length();
-    int end = reason.indexOf('"', from);
-    return end < 0 ? "" : reason.substring(from, end);
+    int end = json.indexOf('"', from);
+    return end < 0 ? "" : json.substring(from, end);
   }
 
   @Override
@@ -249,7 +252,10 @@
             context.exchange.eventLoop(), engine, message, nextEventId - 1, new ResumeListener());
   }
 
-  /** Cancels a failed attempt at the engine, whose response shows whether it ran, and ends it. */
+  /**
+   * Cancels a failed attempt at the engine and ends it with a result that depends on whether the
+   * engine reports that it ran.
+   */
   private void failAttempt(String reason) {
     engines
         .cancel(engine, message.attemptId())
--- a/router/src/main/java/org/lockdale/router/request/PlacementStep.java
+++ b/router/src/main/java/org/lockdale/router/request/PlacementStep.java
@@ -113,7 +113,7 @@
       return false;
     }
     assign(context, placement.get());
-    drainRate.started(time.monotonicMillis());
+    drainRate.recordStart(time.monotonicMillis());
     return true;
   }
 
--- a/router/src/main/java/org/lockdale/router/request/RequestContext.java
+++ b/router/src/main/java/org/lockdale/router/request/RequestContext.java
@@ -19,8 +19,9 @@
 import org.lockdale.router.policy.Tenant;
 
 /**
- * State of one request. Each field is written by one step and read by later ones, all on the event
- * loop of the caller's connection. A request uses one version of the policies throughout.
+ * State of one request, written by its steps and {@link RequestPath}. Confined to the event loop of
+ * the caller's connection, except while the request is queued: then it is placed on the thread that
+ * drains the queue. A request uses one version of the policies throughout.
  */
 final class RequestContext {
 
--- a/router/src/main/java/org/lockdale/router/request/RequestPath.java
+++ b/router/src/main/java/org/lockdale/router/request/RequestPath.java
@@ -77,7 +77,7 @@
     RequestContext context =
         new RequestContext(
             exchange, UUID.randomUUID().toString(), blackboard.policies().value(), kind);
-    recorder.started();
+    recorder.recordStart();
     exchange
         .disconnected()
         .thenRunAsync(() -> context.callerDisconnected = true, exchange.eventLoop());
@@ -231,7 +231,7 @@
     limits.release(context);
     context.enter(RequestStage.ENDED);
     if (failure == null) {
-      recorder.ended(context, outcome, "");
+      recorder.recordEnd(context, outcome, "");
     } else {
       RequestException error = errorOf(failure);
       if (context.mayHaveRun && error.outcome() == Outcome.NOT_RUN) {
@@ -239,7 +239,7 @@
         error = error.withOutcome(Outcome.UNKNOWN);
       }
       context.exchange.reply(error.toReply(context.requestId));
-      recorder.ended(context, error.outcome(), error.kind().code());
+      recorder.recordEnd(context, error.outcome(), error.kind().code());
     }
     queue.drain();
   }
--- a/router/src/main/java/org/lockdale/router/request/RequestRecorder.java
+++ b/router/src/main/java/org/lockdale/router/request/RequestRecorder.java
@@ -19,7 +19,7 @@
     this.inFlight = metrics.gauge("lockdale_requests_in_flight", new AtomicInteger());
   }
 
-  void started() {
+  void recordStart() {
     inFlight.incrementAndGet();
   }
 
@@ -28,7 +28,7 @@
     return inFlight.get();
   }
 
-  void ended(RequestContext context, Outcome outcome, String errorCode) {
+  void recordEnd(RequestContext context, Outcome outcome, String errorCode) {
     inFlight.decrementAndGet();
     String priority = context.route == null ? "none" : context.route.priority().name();
     metrics
