--- a/cli/src/main/java/org/lockdale/cli/ApplyCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/ApplyCommand.java
@@ -28,7 +28,7 @@
 
   @Option(
       names = "--base-version",
-      description = "Version the edit was made on (default: the newest); another one conflicts.")
+      description = "Version the edit is based on (default: the newest); must be the newest.")
   private @Nullable Long baseVersion;
 
   @Option(names = "--dry-run", description = "Checks the edit and changes nothing.")
--- a/cli/src/main/java/org/lockdale/cli/DiffCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/DiffCommand.java
@@ -14,7 +14,7 @@
 @Command(
     name = "diff",
     mixinStandardHelpOptions = true,
-    description = "Shows what apply would change; exit status 1 where there is a difference.")
+    description = "Shows what apply would change; exit status 1 if there is a difference.")
 final class DiffCommand implements Callable<Integer> {
 
   @Mixin private OperatorOptions options = new OperatorOptions();
--- a/cli/src/main/java/org/lockdale/cli/ExplainCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/ExplainCommand.java
@@ -22,7 +22,7 @@
   @Option(names = "--tenant", required = true, description = "Tenant of the request.")
   private String tenant;
 
-  @Option(names = "--model", required = true, description = "Model that the caller names.")
+  @Option(names = "--model", required = true, description = "Model name as used by callers.")
   private String model;
 
   @Option(names = "--label", paramLabel = "KEY=VALUE", description = "Label the caller adds.")
--- a/cli/src/main/java/org/lockdale/cli/HashKeyCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/HashKeyCommand.java
@@ -9,12 +9,12 @@
 @Command(
     name = "hash-key",
     mixinStandardHelpOptions = true,
-    description = "Prints the hash of an API key as it stands in a tenant's apiKeySha256.")
+    description = "Prints the hash of an API key in the form of a tenant's apiKeySha256.")
 final class HashKeyCommand implements Callable<Integer> {
 
   @Parameters(
       paramLabel = "KEY",
-      description = "API key; without it, one is asked for.",
+      description = "API key; prompted for if omitted.",
       interactive = true,
       arity = "0..1")
   private char[] key = new char[0];
@@ -22,7 +22,7 @@
   @Override
   public Integer call() {
     if (key.length == 0) {
-      throw new OperatorException("Give a key.");
+      throw new OperatorException("The API key is missing; enter one.");
     }
     System.out.println(PolicySet.hashOfKey(new String(key)));
     return ExitStatus.OK;
--- a/cli/src/main/java/org/lockdale/cli/LabelCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/LabelCommand.java
@@ -32,7 +32,7 @@
 
   @Option(
       names = "--base-version",
-      description = "Version the edit was made on (default: the newest); another one conflicts.")
+      description = "Version the edit is based on (default: the newest); must be the newest.")
   private @Nullable Long baseVersion;
 
   @Override
--- a/cli/src/main/java/org/lockdale/cli/LocalCluster.java
+++ b/cli/src/main/java/org/lockdale/cli/LocalCluster.java
@@ -45,7 +45,7 @@
       new MultiThreadIoEventLoopGroup(4, NioIoHandler.newFactory());
   private final HttpClient client = new HttpClient(group);
   private final HistoryRecorder history = new HistoryRecorder();
-  private final BlockHolderCounts census = new BlockHolderCounts();
+  private final BlockHolderCounts blockHolders = new BlockHolderCounts();
   private final PlatformServer platform;
   private final List<EngineServer> engines = new ArrayList<>();
   private final List<RouterNode> nodes = new ArrayList<>();
@@ -80,7 +80,8 @@
 
   private void startEngine(EngineSettings settings) {
     EngineServer engine =
-        EngineServer.start(settings, Addresses.loopback(0), engineGroup, history::add, census);
+        EngineServer.start(
+            settings, Addresses.loopback(0), engineGroup, history::add, blockHolders);
     engines.add(engine);
     platform
         .machines()
--- a/cli/src/main/java/org/lockdale/cli/RelayCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/RelayCommand.java
@@ -16,7 +16,10 @@
   private static final int[] STREAMS = {1, 64, 1_024};
   private static final int WARM_UP_SECONDS = 5;
 
-  /** Largest response that ends before the deadline of the requests' priority at 33 ms a token. */
+  /**
+   * Maximum length of a response in tokens. At 33 ms a token, it ends before the deadline of the
+   * requests' priority.
+   */
   private static final int MAX_RESPONSE_TOKENS = 240;
 
   private static final double MICROS_PER_MILLI = 1_000;
--- a/cli/src/main/java/org/lockdale/cli/RelayExperiment.java
+++ b/cli/src/main/java/org/lockdale/cli/RelayExperiment.java
@@ -46,7 +46,7 @@
    * Cost of relaying streams.
    *
    * @param streams number of concurrent streams
-   * @param tokens tokens of the streams that ended complete
+   * @param tokens number of tokens of the streams that completed
    * @param tokensPerCoreSecond tokens relayed in one second of processor time of the node
    * @param bytesPerToken bytes the node allocates for each token
    */
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Sends requests through the node at a constant rate, and beside every fourth of them another one
-   * directly to an engine, and records the times to first token of both.
+   * Sends requests through the node at a constant rate and, with every fourth of them, another one
+   * directly to an engine; returns the times to first token of both.
    */
   AddedLatency measureLatency(int requestsPerSecond, int seconds, int tokens)
       throws InterruptedException {
--- a/cli/src/main/java/org/lockdale/cli/StatusCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/StatusCommand.java
@@ -57,7 +57,7 @@
           version < highest ? "  lags by " + (highest - version) : "");
     }
     for (JsonNode silent : cluster.path("silent")) {
-      System.out.printf("%-16s no answer%n", silent.asText());
+      System.out.printf("%-16s no response%n", silent.asText());
     }
     printEngines(cluster.path("nodes").path(0).path("engines"));
   }
--- a/cli/src/test/java/org/lockdale/cli/BadInputTest.java
+++ b/cli/src/test/java/org/lockdale/cli/BadInputTest.java
@@ -110,7 +110,8 @@
   }
 
   /**
-   * Each gets its status and error code, with the outcome {@code not_run}, and no engine runs it.
+   * Each invalid request gets its status and error code with the outcome {@code not_run}, and no
+   * engine runs it.
    */
   @Test(dataProvider = "requests")
   public void isRejected(String path, String headers, String body, int status, String code)
@@ -151,10 +152,10 @@
    */
   @Test
   public void deadlineExpiresWhileRunning() throws IOException {
-    String longAnswer = GOOD_BODY.replace("\"max_tokens\":2", "\"max_tokens\":4000");
+    String longRequest = GOOD_BODY.replace("\"max_tokens\":2", "\"max_tokens\":4000");
     try (RawHttp http = connect()) {
       String reply =
-          http.post(CHAT, KEY + JSON + "x-lockdale-deadline-ms: 200\r\n", longAnswer).readAll();
+          http.post(CHAT, KEY + JSON + "x-lockdale-deadline-ms: 200\r\n", longRequest).readAll();
       assertTrue(reply.startsWith("http/1.1 504"), reply);
       assertTrue(reply.contains("\"outcome\":\"unknown\""), reply);
       assertTrue(reply.contains("retry-after: "), reply);
@@ -165,10 +166,10 @@
   /** If a caller disconnects in the middle of a stream, its request is cancelled at the engine. */
   @Test
   public void callerDisconnectsMidStream() throws IOException, InterruptedException {
-    String longStream =
+    String longStreamRequest =
         GOOD_BODY.replace("\"max_tokens\":2", "\"max_tokens\":100000,\"stream\":true");
     try (RawHttp http = connect()) {
-      http.post(CHAT, KEY + JSON, longStream).readUntil("id: 2");
+      http.post(CHAT, KEY + JSON, longStreamRequest).readUntil("id: 2");
     }
     ProcessCluster.awaitIdle(cluster);
   }
--- a/cli/src/test/java/org/lockdale/cli/FaultInjector.java
+++ b/cli/src/test/java/org/lockdale/cli/FaultInjector.java
@@ -86,7 +86,7 @@
 
   private void drainEngine() {
     EngineServer engine = anyEngine();
-    injectedFaults.add("leave " + engine.settings().id());
+    injectedFaults.add("drain " + engine.settings().id());
     String incarnation = engine.drain();
     long now = cluster.history().nowMicros();
     cluster.history().add(new HistoryEvent.EngineLeaving(engine.settings().id(), incarnation, now));
--- a/cli/src/test/java/org/lockdale/cli/OutcomeAfterRetryTest.java
+++ b/cli/src/test/java/org/lockdale/cli/OutcomeAfterRetryTest.java
@@ -12,8 +12,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Checks the outcome of a repeatable request whose first attempt may have run and whose second
- * attempt cannot start.
+ * Checks the outcome of a request without an idempotency key whose first attempt may have run and
+ * whose second attempt cannot start.
  */
 public final class OutcomeAfterRetryTest {
 
--- a/cli/src/test/java/org/lockdale/cli/PlannedStopTest.java
+++ b/cli/src/test/java/org/lockdale/cli/PlannedStopTest.java
@@ -21,7 +21,10 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Checks that a planned stop finishes open streams, and that a node restarts in an outage. */
+/**
+ * Checks that a planned stop finishes open streams, and that a node can restart without the
+ * platform.
+ */
 public final class PlannedStopTest {
 
   private static final int STREAMS = 40;
--- a/cli/src/test/java/org/lockdale/cli/RunOnceTest.java
+++ b/cli/src/test/java/org/lockdale/cli/RunOnceTest.java
@@ -18,7 +18,7 @@
 /** Compares the reported outcomes of requests with an idempotency key to the recorded runs. */
 public final class RunOnceTest {
 
-  private static final int LONG = 60;
+  private static final int LONG_RESPONSE_TOKENS = 60;
 
   private LocalCluster cluster;
 
@@ -116,7 +116,7 @@
   /** If the engine crashes while it runs a request, the outcome is unknown, also for repeats. */
   @Test
   public void anEngineThatDiesLeavesTheOutcomeUnknown() throws IOException, InterruptedException {
-    try (RawHttp http = send(0, "k3", "redeem four", LONG)) {
+    try (RawHttp http = send(0, "k3", "redeem four", LONG_RESPONSE_TOKENS)) {
       awaitRunning();
       cluster.engines().forEach(EngineServer::crash);
       String reply = http.readAll();
@@ -125,8 +125,9 @@
     }
     ProcessCluster.await(
         "a repeated request gets the outcome unknown",
-        () -> responseStartsWith(1, "k3", "redeem four", LONG, "http/1.1 409"));
-    assertTrue(sendAndReadAll(0, "k3", "redeem four", LONG).contains("outcome_unknown"));
+        () -> responseStartsWith(1, "k3", "redeem four", LONG_RESPONSE_TOKENS, "http/1.1 409"));
+    assertTrue(
+        sendAndReadAll(0, "k3", "redeem four", LONG_RESPONSE_TOKENS).contains("outcome_unknown"));
     assertEquals(runsOf("redeem four"), 1);
   }
 
@@ -142,7 +143,8 @@
     assertEquals(runsOf("redeem five"), 0);
     cluster.platform().setFaults(PlatformFaults.NONE);
     ProcessCluster.await(
-        "the same key runs", () -> responseStartsWith(0, "k4", "redeem five", 4, "http/1.1 200"));
+        "the request with the same key runs",
+        () -> responseStartsWith(0, "k4", "redeem five", 4, "http/1.1 200"));
     assertEquals(runsOf("redeem five"), 1);
   }
 
@@ -155,19 +157,20 @@
     assertEquals(runsOf("redeem six"), ran ? 1 : 0, reply);
     cluster.platform().setFaults(PlatformFaults.NONE);
     ProcessCluster.await(
-        "the key is answered", () -> responseStartsWith(1, "k5", "redeem six", 4, "http/1.1 200"));
+        "a repeat gets the response",
+        () -> responseStartsWith(1, "k5", "redeem six", 4, "http/1.1 200"));
     assertEquals(runsOf("redeem six"), 1);
   }
 
   /** A caller that disconnects gets the response of the only run when it repeats the request. */
   @Test
   public void aCallerThatLeftGetsItsAnswerLater() throws IOException, InterruptedException {
-    try (RawHttp http = send(0, "k6", "redeem seven", LONG)) {
+    try (RawHttp http = send(0, "k6", "redeem seven", LONG_RESPONSE_TOKENS)) {
       awaitRunning();
     }
     ProcessCluster.await(
         "the response is stored",
-        () -> responseStartsWith(1, "k6", "redeem seven", LONG, "http/1.1 200"));
+        () -> responseStartsWith(1, "k6", "redeem seven", LONG_RESPONSE_TOKENS, "http/1.1 200"));
     assertEquals(runsOf("redeem seven"), 1);
   }
 }
--- a/cli/src/test/java/org/lockdale/cli/StockClientTest.java
+++ b/cli/src/test/java/org/lockdale/cli/StockClientTest.java
@@ -68,12 +68,12 @@
   @Test
   public void wholeAnswer() {
     OpenAIClient client = client("key-sm-malls");
-    ChatCompletion answer =
+    ChatCompletion completion =
         client.chat().completions().create(chatRequest("gift-llm", "what is left on card 9"));
     assertEquals(
-        answer.choices().get(0).message().content().orElseThrow(),
+        completion.choices().get(0).message().content().orElseThrow(),
         expected("what is left on card 9"));
-    assertEquals(answer.usage().orElseThrow().completionTokens(), TOKENS);
+    assertEquals(completion.usage().orElseThrow().completionTokens(), TOKENS);
   }
 
   /** The chunks of a streamed completion add up to the complete text. */
--- a/experiments/src/main/java/org/lockdale/experiments/PlacementSimulation.java
+++ b/experiments/src/main/java/org/lockdale/experiments/PlacementSimulation.java
@@ -53,7 +53,7 @@
     this.scenario = scenario;
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     this.workload = scenario.newWorkload();
-    BlockHolderCounts census = new BlockHolderCounts();
+    BlockHolderCounts blockHolders = new BlockHolderCounts();
     for (int zone = 0; zone < scenario.zones().size(); zone++) {
       for (int number = 0; number < scenario.engines().get(zone); number++) {
         String id = String.format("llm-%02d", engines.size() + 1);
@@ -63,7 +63,7 @@
                 time,
                 RandomSource.XO_RO_SHI_RO_128_PP.create(random.nextLong()),
                 this::recordRun,
-                census));
+                blockHolders));
       }
     }
     for (String zone : scenario.zones()) {
--- a/experiments/src/main/java/org/lockdale/experiments/Policies.java
+++ b/experiments/src/main/java/org/lockdale/experiments/Policies.java
@@ -31,11 +31,11 @@
   private int nextRoundRobin;
 
   Policies(Scenario scenario, VirtualTime time, UniformRandomProvider random) {
-    PolicySet distances = distancesOf(scenario);
+    PolicySet latencyPolicies = latencyPoliciesOf(scenario);
     byName.put(
         "lockdale",
         (node, engines, chain, tokens) ->
-            chooseWithRouter(node, engines, chain, tokens, distances, time));
+            chooseWithRouter(node, engines, chain, tokens, latencyPolicies, time));
     byName.put(
         "round-robin",
         (node, engines, chain, tokens) ->
@@ -75,7 +75,7 @@
     return policy;
   }
 
-  private static PolicySet distancesOf(Scenario scenario) {
+  private static PolicySet latencyPoliciesOf(Scenario scenario) {
     Map<String, Map<String, Double>> latencies = new HashMap<>();
     for (String zone : scenario.zones()) {
       Map<String, Double> toOthers = new HashMap<>();
@@ -90,7 +90,7 @@
       List<SimulatedEngine> engines,
       PrefixChain chain,
       int promptTokens,
-      PolicySet distances,
+      PolicySet latencyPolicies,
       VirtualTime time) {
     long now = time.monotonicMillis();
     PrefixMatch match = node.prefixes().match(chain, now);
@@ -99,7 +99,7 @@
         new PlacementRequest(
             "model", "v1", Selector.EVERYTHING, Set.of(), chain, promptTokens, 500, popularity);
     Placement chosen =
-        EngineChooser.choose(request, match, node.engines(), distances, node.zone(), now)
+        EngineChooser.choose(request, match, node.engines(), latencyPolicies, node.zone(), now)
             .orElseThrow();
     return new Choice(
         byId(engines, chosen.engine().id()), promptTokens - chosen.estimatedCachedTokens());
--- a/experiments/src/main/java/org/lockdale/experiments/SimulatedEngine.java
+++ b/experiments/src/main/java/org/lockdale/experiments/SimulatedEngine.java
@@ -33,13 +33,13 @@
       VirtualTime time,
       UniformRandomProvider random,
       Ledger ledger,
-      BlockHolderCounts census) {
+      BlockHolderCounts blockHolders) {
     this.time = time;
     this.settings = settings;
     this.identity = Rendezvous.identityOf(settings.id());
     this.model =
         new EngineModel(
-            settings, settings.id() + "-1", random, time::nowMicros, ledger::onRun, census);
+            settings, settings.id() + "-1", random, time::nowMicros, ledger::onRun, blockHolders);
   }
 
   static EngineSettings settings(String id, String zone, int cacheBlocks) {
--- a/experiments/src/main/java/org/lockdale/experiments/SimulatedNodeView.java
+++ b/experiments/src/main/java/org/lockdale/experiments/SimulatedNodeView.java
@@ -14,7 +14,10 @@
 import org.lockdale.router.placement.PopularityCounter;
 import org.lockdale.router.placement.PrefixIndex;
 
-/** State of the cluster as known to one node: last reported loads and prefixes it dispatched. */
+/**
+ * State of the cluster as known to one node: the last reported loads, and the prefixes of its
+ * requests that engines finished.
+ */
 final class SimulatedNodeView {
 
   private static final long SAME_ZONE_REPORT_MICROS = 250_000;
