--- a/cli/src/main/java/org/lockdale/cli/EngineCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/EngineCommand.java
@@ -36,7 +36,7 @@
 @Command(
     name = "engine",
     mixinStandardHelpOptions = true,
-    description = "Runs a stand-in engine and puts it on the stand-in platform's machine list.")
+    description = "Runs a stand-in engine and adds it to the stand-in platform's machine list.")
 final class EngineCommand implements Callable<Integer> {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
--- a/cli/src/main/java/org/lockdale/cli/GetCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/GetCommand.java
@@ -13,7 +13,7 @@
 @Command(
     name = "get",
     mixinStandardHelpOptions = true,
-    description = "Prints the resources in force, as YAML that apply takes.")
+    description = "Prints the resources in force, as YAML that apply accepts.")
 final class GetCommand implements Callable<Integer> {
 
   @Mixin private OperatorOptions options = new OperatorOptions();
--- a/cli/src/main/java/org/lockdale/cli/HashKeyCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/HashKeyCommand.java
@@ -12,17 +12,13 @@
     description = "Prints the hash of an API key in the form of a tenant's apiKeySha256.")
 final class HashKeyCommand implements Callable<Integer> {
 
-  @Parameters(
-      paramLabel = "KEY",
-      description = "API key; prompted for if omitted.",
-      interactive = true,
-      arity = "0..1")
+  @Parameters(paramLabel = "KEY", description = "API key.", interactive = true, arity = "0..1")
   private char[] key = new char[0];
 
   @Override
   public Integer call() {
     if (key.length == 0) {
-      throw new OperatorException("The API key is missing; enter one.");
+      throw new OperatorException("The API key is missing; give it as an argument.");
     }
     System.out.println(PolicySet.hashOfKey(new String(key)));
     return ExitStatus.OK;
--- a/router/src/main/java/org/lockdale/router/node/RouterNode.java
+++ b/router/src/main/java/org/lockdale/router/node/RouterNode.java
@@ -118,7 +118,7 @@
     registerGauges();
   }
 
-  /** Starts a node. It is ready once it has received a configuration and knows an engine. */
+  /** Starts a node. It is ready once it has a configuration and an engine is listed. */
   public static RouterNode start(NodeSettings settings) {
     RouterNode node = new RouterNode(settings);
     Logger.info(
--- a/router/src/main/java/org/lockdale/router/request/PlacementStep.java
+++ b/router/src/main/java/org/lockdale/router/request/PlacementStep.java
@@ -186,9 +186,9 @@
   }
 
   /**
-   * Returns the configured weights version if an engine that may serve the request holds it or none
-   * holds any, otherwise a version that such an engine holds: while a new version is rolled out,
-   * requests continue with the old one.
+   * Returns the weights version to request. It is the configured one, unless only other versions
+   * are held by the engines that may serve the request: while a new version is rolled out, requests
+   * continue with the old one.
    */
   private static String selectWeightsVersion(
       RequestContext context, EngineTable engines, long now) {
