--- a/cli/src/main/java/org/lockdale/cli/HashKeyCommand.java
+++ b/cli/src/main/java/org/lockdale/cli/HashKeyCommand.java
@@ -9,20 +9,16 @@
 @Command(
     name = "hash-key",
     mixinStandardHelpOptions = true,
-    description = "Prints the hash of an API key as it stands in a tenant's apiKeySha256.")
+    description = "Prints the hash of an API key in the form of a tenant's apiKeySha256.")
 final class HashKeyCommand implements Callable<Integer> {
 
-  @Parameters(
-      paramLabel = "KEY",
-      description = "API key; without it, one is asked for.",
-      interactive = true,
-      arity = "0..1")
+  @Parameters(paramLabel = "KEY", description = "API key.", interactive = true, arity = "0..1")
   private char[] key = new char[0];
 
   @Override
   public Integer call() {
     if (key.length == 0) {
-      throw new OperatorException("Give a key.");
+      throw new OperatorException("The API key is missing; give it as an argument.");
     }
     System.out.println(PolicySet.hashOfKey(new String(key)));
     return ExitStatus.OK;
