--- a/gateway/src/main/java/org/lockdale/gateway/life/IncarnationMonitor.java
+++ b/gateway/src/main/java/org/lockdale/gateway/life/IncarnationMonitor.java
@@ -21,10 +21,10 @@
  * record of a crashed backend exists for seconds; if its address is in use again in that time, each
  * request sent there costs a round trip and is rejected.
  *
- * <p>A rejection of a request as meant for another server proves this if the request required only
- * the instance. If it also required a version of weights, that may be the reason for the rejection,
- * so the engine is queried for its state, which contains its start time and its weights. Runs on
- * one event loop; rejections may be reported from any thread.
+ * <p>If a request that required only the instance is rejected as meant for another server, this
+ * proves that the incarnation has ended. If the request also required a version of weights, that
+ * may be the reason for the rejection, so the engine is queried for its state, which contains its
+ * start time and its weights. Runs on one event loop; rejections may be reported from any thread.
  */
 public final class IncarnationMonitor {
 
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/AttemptJournal.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/AttemptJournal.java
@@ -17,8 +17,9 @@
 
 /**
  * Records in the shared store to which backends suspect requests are being sent. If a node is
- * killed before it learns the outcome of an attempt, its row remains; once that incarnation of the
- * backend is known to have ended, it counts as a crash under the request. Runs on one event loop.
+ * killed before it learns the outcome of an attempt, the row of the attempt remains; once the
+ * incarnation that it was sent to is known to have ended, this counts as a crash of the backend
+ * while it ran the request. Runs on one event loop.
  */
 final class AttemptJournal {
 
@@ -29,8 +30,8 @@
   private static final int MAX_IN_FLIGHT = 32;
 
   /**
-   * How long the row of a lost attempt is kept. It may have been running when its backend crashed;
-   * after this time it is known whether the backend crashed.
+   * How long the row of a lost attempt is kept. The attempt may have been running when its backend
+   * crashed; after this time it is known whether the backend crashed.
    */
   private static final long UNCERTAIN_RETENTION_MILLIS = 10_000;
 
@@ -38,8 +39,8 @@
   private static final long ORPHAN_RETENTION_MILLIS = 30_000;
 
   /**
-   * An incarnation counts as ended if neither a record of it nor one of a later incarnation has
-   * been read for this long.
+   * An incarnation counts as ended if, this long after the row of the attempt was first read, no
+   * incarnation of its server has a record.
    */
   private static final long MISSING_RECORD_MILLIS = 5_000;
 
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashDetector.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashDetector.java
@@ -24,8 +24,8 @@
 
   /**
    * How long losses and crashes of a backend are remembered. Records of crashed backends expire
-   * after three heartbeats, 3.6 s, and may be read a second later; twice that time leaves room for
-   * slow stores.
+   * after three heartbeats, 3.6 s, and the expiry may be read a second later; twice that time
+   * leaves room for slow stores.
    */
   static final long RETENTION_MILLIS = 10_000;
 
@@ -33,10 +33,11 @@
    * An attempt that was given up at most this long before the connections of its backend closed may
    * have been running at that moment: a loaded server starts an attempt half a second after its
    * caller has disconnected, and a loaded node reads and handles a closed connection more than a
-   * second late. Records show a crash later still.
+   * second late.
    */
   private static final long GIVEN_UP_WINDOW_MILLIS = 3_000;
 
+  /** The same for a crash that is detected by records, which show it later than connections. */
   private static final long GIVEN_UP_WINDOW_BY_RECORD_MILLIS = RETENTION_MILLIS;
 
   /**
@@ -135,12 +136,12 @@
     boolean startedLater = closed != null && nowMillis - attempt.responseMillis() > closed;
     boolean respondedThere = startedLater && attempt.responseMillis() != 0;
     long connectedAtWallMillis = wallMillis - (nowMillis - attempt.connectedAtMillis());
-    return respondedThere || isStartedBefore(present.backend(), connectedAtWallMillis)
+    return respondedThere || hasStartedBefore(present.backend(), connectedAtWallMillis)
         ? reassign(present.backend(), attempt)
         : attempt;
   }
 
-  private static boolean isStartedBefore(Backend next, long wallMillis) {
+  private static boolean hasStartedBefore(Backend next, long wallMillis) {
     return next.incarnation().startedAtMillis().orElse(Long.MAX_VALUE) < wallMillis;
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashWatch.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/CrashWatch.java
@@ -22,8 +22,9 @@
 public final class CrashWatch {
 
   /**
-   * A crashed process has released its port by then, and all attempts lost with it have been
-   * reported; in a recorded incident these reports came within 4 ms.
+   * Delay before the address is probed. A crashed process has released its port by then, and all
+   * attempts lost with it have been reported; in a recorded incident these reports came within 4
+   * ms.
    */
   private static final long PROBE_DELAY_MILLIS = 20;
 
@@ -33,8 +34,8 @@
   interface Listener {
 
     /**
-     * Called when a connection was closed under an attempt; whether its backend crashed is not
-     * known yet.
+     * Called when the connection of an attempt was closed; whether the backend crashed is not known
+     * yet.
      */
     void onConnectionClosed(LostAttempt attempt);
 
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/Quarantine.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/Quarantine.java
@@ -24,10 +24,10 @@
 import org.tinylog.Logger;
 
 /**
- * Quarantines requests under which backends crash. Each node observes the crashes under its own
- * requests, notifies all other nodes, and keeps the significant ones in the shared store for nodes
- * that start or were isolated; all nodes decide by the same rule. The request path reads a section
- * of the blackboard; the rest runs on one event loop.
+ * Quarantines requests that are suspected of crashing backends. Each node observes which backends
+ * crash while they run its requests, notifies all other nodes, and keeps the main suspects in the
+ * shared store for nodes that start or were isolated; all nodes decide by the same rule. The
+ * request path reads a section of the blackboard; everything else runs on one event loop.
  */
 public final class Quarantine {
 
@@ -118,11 +118,11 @@
   public Optional<SuspectAttempt> attemptStarting(
       CallerRequest request, String caller, String backend) {
     Optional<SuspectAttempt> attempt = section.value().attempt(request, caller, backend);
-    attempt.ifPresent(each -> context.eventLoop().execute(() -> begin(each)));
+    attempt.ifPresent(each -> context.eventLoop().execute(() -> recordStart(each)));
     return attempt;
   }
 
-  private void begin(SuspectAttempt attempt) {
+  private void recordStart(SuspectAttempt attempt) {
     ledger
         .find(attempt.fingerprint())
         .filter(suspect -> suspect.weight() > 0)
@@ -226,8 +226,8 @@
   /**
    * Counts a crash against a request. A closed connection counts as a crash of its backend until
    * the backend is known to be alive. Whether it crashed may be known only seconds later, and each
-   * node that saw a connection close may be killed before: three crashes were lost that way, and a
-   * request was sent four more times.
+   * node that saw a connection close may be killed before that: three crashes were lost that way,
+   * and a request was sent four more times.
    */
   private void countCrash(String event, LostAttempt lost) {
     RequestFingerprint fingerprint = RequestFingerprint.of(lost.request(), lost.caller());
@@ -309,7 +309,7 @@
   }
 
   /**
-   * Counts the crashes of backends under attempts that other nodes, or this one before it
+   * Counts the crashes of backends while they ran attempts that other nodes, or this one before it
    * restarted, have not concluded.
    */
   private boolean countUnconcluded() {
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/RequestFingerprint.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/RequestFingerprint.java
@@ -91,8 +91,8 @@
   }
 
   /**
-   * Written explicitly, because the method that a record generates is linked again in each process
-   * that calls it.
+   * Written explicitly, because the generated method of a record is linked at run time, in each
+   * process that calls it.
    */
   @Override
   public boolean equals(Object other) {
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectLedger.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectLedger.java
@@ -11,13 +11,14 @@
 import java.util.TreeSet;
 
 /**
- * Decides which requests are quarantined because backends crash under them. A crash affects all
- * requests that run on the backend, of which at most one is its cause, so one crash is weak
- * evidence, and the same request at the crashes of several backends is strong evidence.
+ * Decides which requests are quarantined because backends crash while they run them. A crash
+ * affects all requests that run on the backend, of which at most one is its cause, so one crash is
+ * weak evidence against a request, and crashes of several backends that ran the same request are
+ * strong evidence.
  *
  * <p>A request is quarantined from its third crash on, if at each its response had not started or
- * had started only shortly before, and from its fifth crash on otherwise, since a crash under a
- * response that had been arriving for longer counts two thirds. A successful response clears a
+ * had started only shortly before, and from its fourth or fifth crash on otherwise, since a crash
+ * after the response had been arriving for longer counts two thirds. A successful response clears a
  * request. Crashes that a request shares with a quarantined one count in full: excluding them
  * spared no innocent request in 200 simulated runs of each of six scenarios, and let requests that
  * crash servers together continue.
@@ -50,7 +51,8 @@
 
   /**
    * Weight of one such crash. All requests on the backend get it, so it is weak evidence against
-   * each of them, but all nodes that know of it may have stopped before the next crash.
+   * each of them. It is recorded in the shared store nevertheless, since all nodes that know of it
+   * may have stopped before the next crash.
    */
   static final int SINGLE_CRASH_WEIGHT = 3;
 
@@ -161,8 +163,8 @@
   }
 
   /**
-   * Returns the monotonic time at which this node learned of the latest crash under a request, or a
-   * time in the distant past if the request is unknown.
+   * Returns the monotonic time at which this node learned of the latest crash of a backend that ran
+   * a request, or a time in the distant past if the request is unknown.
    */
   long lastCrashAtMillis(RequestFingerprint fingerprint) {
     Entry entry = entries.get(fingerprint);
@@ -198,10 +200,10 @@
   }
 
   /**
-   * Records that a backend was alive at a moment. Crashes that this node learned of later may have
-   * happened since.
+   * Records that a backend was alive at a moment. Crashes that this node did not learn of before
+   * that moment may have happened after it, so they still count.
    *
-   * @return suspects that lose a crash that did not happen
+   * @return suspects of which a crash was retracted
    */
   List<Suspect> recordAlive(String backend, long atMillis) {
     List<Suspect> changed = new ArrayList<>();
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectRecorder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectRecorder.java
@@ -47,8 +47,8 @@
   private static final long REMOVE_AFTER_MILLIS = 15_000;
 
   /**
-   * Number of rows from which on requests with a single crash are not recorded. Servers crash with
-   * about twenty requests each, of which a few had no response yet.
+   * Number of rows from which on requests with a single crash are not recorded. A server that
+   * crashes runs about twenty requests, a few of which have no response yet.
    */
   private static final int MAX_SINGLE_CRASH_ROWS = 32;
 
@@ -106,8 +106,8 @@
   }
 
   /**
-   * Records that this node has observed a crash under a request, or has forgiven it, so that this
-   * node writes its row at once.
+   * Records that this node has observed the crash of a backend that ran a request, or has forgiven
+   * the request, so that this node writes its row at once.
    */
   void markSeenLocally(RequestFingerprint fingerprint) {
     seenLocally.add(fingerprint);
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/Suspects.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/Suspects.java
@@ -10,8 +10,8 @@
 import org.lockdale.gateway.caller.CallerRequest;
 
 /**
- * The requests under which backends crashed, and which of them are quarantined, as the request path
- * reads them. Immutable.
+ * The requests that backends ran when they crashed, and which of them are quarantined, as the
+ * request path reads them. Immutable.
  */
 public final class Suspects {
 
@@ -33,7 +33,7 @@
   }
 
   /**
-   * Returns whether a request may be one of the suspects. The body is only read if it may.
+   * Returns whether a request may be one of the suspects; only then does its body have to be read.
    *
    * @param request the request
    * @param caller name of the tenant, or the key where there is none
--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/package-info.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/package-info.java
@@ -1,4 +1,4 @@
-/** Detects the requests under which backends crash, and quarantines them. */
+/** Detects the requests that crash backends, and quarantines them. */
 @NullMarked
 package org.lockdale.gateway.quarantine;
 
--- a/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/IncarnationSimulation.java
@@ -20,7 +20,7 @@
 import org.lockdale.gateway.weights.OrderOutcome;
 
 /**
- * Simulates nodes that follow engines which restart under their ids every second or two, during
+ * Simulates nodes that track engines which restart under their ids every second or two, during
  * rollouts. Clocks of engines jump, nodes are isolated from the store and from each other, and
  * writes of an earlier incarnation take effect late. The order of incarnations, the detection that
  * one has ended, and the tracking of weights and work are the production code.
@@ -31,16 +31,16 @@
   static final int ENGINES = 64;
 
   /**
-   * Time in milliseconds after the last fault after which all nodes have to know the present
+   * Time in milliseconds after the last fault after which all nodes must know the present
    * incarnations.
    */
-  static final long CONTACT_MILLIS = 4_000;
+  static final long CONVERGENCE_MILLIS = 4_000;
 
   private static final String MODEL = "model";
   private static final long FAULTS_UNTIL_MILLIS = 20_000;
   private static final long HEARTBEAT_MILLIS = 1_200;
   private static final long MAX_SKEW_MILLIS = 6_000;
-  private static final int REQUESTS_A_SECOND = 300;
+  private static final int REQUESTS_PER_SECOND = 300;
   private static final long START = 1_790_000_000_000L;
 
   /**
@@ -163,7 +163,7 @@
         if (wasServing
             && now != null
             && now.backend().incarnation().isBefore(engine.incarnation())) {
-          left++;
+          returns++;
         }
       }
     }
@@ -215,7 +215,7 @@
   private int sends;
   private int misdirected;
   private int newerThanHeld;
-  private int left;
+  private int returns;
   private long newest = 1;
 
   IncarnationSimulation(long seed) {
@@ -254,7 +254,7 @@
     time.schedule(1_000_000, this::crash);
     time.schedule(2_000_000, this::rollOutWeights);
     time.schedule(1_500_000, this::isolateNodes);
-    time.runMillis(FAULTS_UNTIL_MILLIS + IncarnationOrder.STALE_RECORD_MILLIS + CONTACT_MILLIS);
+    time.runMillis(FAULTS_UNTIL_MILLIS + IncarnationOrder.STALE_RECORD_MILLIS + CONVERGENCE_MILLIS);
     return result();
   }
 
@@ -267,7 +267,7 @@
     if (!node.isolated) {
       node.send(engines.get(random.nextInt(ENGINES)));
     }
-    time.schedule(1_000_000 / REQUESTS_A_SECOND, this::request);
+    time.schedule(1_000_000 / REQUESTS_PER_SECOND, this::request);
   }
 
   private void crash() {
@@ -320,6 +320,6 @@
         workLeft += right && !known.load().work().isNone() ? 1 : 0;
       }
     }
-    return new Result(sends, misdirected, newerThanHeld, left, wrong, wronglyOver, workLeft);
+    return new Result(sends, misdirected, newerThanHeld, returns, wrong, wronglyOver, workLeft);
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/life/LivenessEvidenceTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/life/LivenessEvidenceTest.java
@@ -14,7 +14,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests what shows that an incarnation is alive, and what may come from the next one of its server.
+ * Tests which observations show that an incarnation is alive, and which may come from the next
+ * incarnation of its server.
  */
 public final class LivenessEvidenceTest {
 
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/AttemptJournalTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/AttemptJournalTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests that the rows of attempts of suspects outlive the nodes that sent them, and count if the
+ * Tests that the rows of attempts of suspects outlive the nodes that wrote them, and count if the
  * backends crash.
  */
 public final class AttemptJournalTest {
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulation.java
@@ -27,14 +27,18 @@
 import org.lockdale.http.Reachability;
 
 /**
- * Simulates nodes in front of servers that crash: under guilty requests, which are sent again to
- * any node, and in waves that no request causes. Callers of innocent requests repeat them at once.
- * Datagrams are delayed and lost; the store is unavailable at times, and nodes restart or are
+ * Simulates nodes in front of servers that crash: because of guilty requests, which are sent again
+ * to any node, and in waves that no request causes. Callers of innocent requests repeat them at
+ * once. Datagrams are delayed and lost; the store is unavailable at times, and nodes restart or are
  * isolated from each other. Except for the request path, a node consists of the production code.
  */
 final class QuarantineSimulation {
 
-  static final long CONTACT_MILLIS = 3_000;
+  /**
+   * Time in milliseconds after the last fault after which a node must know which requests are
+   * quarantined.
+   */
+  static final long CONVERGENCE_MILLIS = 3_000;
 
   private static final long RUN_MILLIS = 28_000;
   private static final long GUILTY_RUN_MICROS = 60_000;
@@ -76,8 +80,8 @@
   /**
    * The result of a run.
    *
-   * @param worstLateSends maximum number of sends of one request more than {@link #CONTACT_MILLIS}
-   *     after its third crash by nodes that were undisturbed for that time
+   * @param worstLateSends maximum number of sends of one request more than {@link
+   *     #CONVERGENCE_MILLIS} after its third crash by nodes that were undisturbed for that time
    * @param ends crashes of servers
    * @param innocents innocent requests
    * @param refusedInnocents innocent requests that were rejected at least once
@@ -116,7 +120,7 @@
         return;
       }
       up = false;
-      ends++;
+      crashes++;
       List<Run> lost = List.copyOf(runs);
       runs.clear();
       Set<Node> observers = new LinkedHashSet<>();
@@ -175,7 +179,7 @@
     private final Node node;
     private final Server server;
 
-    /** Incarnation that the node takes the server to be. */
+    /** Id of the incarnation that, as far as the node knows, is serving. */
     private final String assumed;
 
     private final Contents contents;
@@ -249,7 +253,7 @@
       if (givenUp) {
         return;
       }
-      long answerMillis = time.monotonicMillis() - startedAtMillis;
+      long responseMillis = time.monotonicMillis() - startedAtMillis;
       recorded.ifPresent(attempt -> node.quarantine.attemptConcluded(attempt, true));
       if (!contents.guilty) {
         lostRuns++;
@@ -260,7 +264,7 @@
               server.address,
               request,
               "tenant",
-              answerMillis,
+              responseMillis,
               LostAttempt.Loss.CLOSED,
               connectedAtMillis));
       node.avoid(server);
@@ -278,7 +282,7 @@
     private long thirdCrashMillis = Long.MAX_VALUE / 2;
     private int lateSends;
     private int sendsAfterThirdEnd;
-    private boolean refused;
+    private boolean rejected;
 
     Contents(String body, boolean guilty) {
       this.body = body;
@@ -297,7 +301,7 @@
       if (now > thirdCrashMillis + LATE_SEND_MILLIS) {
         sendsAfterThirdEnd++;
       }
-      if (now > thirdCrashMillis + CONTACT_MILLIS && node.isUndisturbed(now)) {
+      if (now > thirdCrashMillis + CONVERGENCE_MILLIS && node.isUndisturbed(now)) {
         lateSends++;
       }
     }
@@ -313,7 +317,7 @@
     private final Map<InetSocketAddress, Deque<Long>> idle = new HashMap<>();
     private final Map<InetSocketAddress, Long> avoidedUntil = new HashMap<>();
     private final LivenessEvidence livenessEvidence = new LivenessEvidence(this::servers);
-    long disturbedUntilMillis = -CONTACT_MILLIS;
+    long disturbedUntilMillis = -CONVERGENCE_MILLIS;
     boolean isolated;
     private boolean down;
 
@@ -428,7 +432,8 @@
     }
 
     boolean isUndisturbed(long nowMillis) {
-      return nowMillis - Math.max(disturbedUntilMillis, storeDisturbedUntilMillis) > CONTACT_MILLIS;
+      return nowMillis - Math.max(disturbedUntilMillis, storeDisturbedUntilMillis)
+          > CONVERGENCE_MILLIS;
     }
 
     private CompletableFuture<Reachability> probe(InetSocketAddress address) {
@@ -476,7 +481,8 @@
 
     private CompletableFuture<Void> write(Runnable change) {
       if (!reachesStore()) {
-        return CompletableFuture.failedFuture(new IllegalStateException("out of reach"));
+        return CompletableFuture.failedFuture(
+            new IllegalStateException("the store is unreachable"));
       }
       rowsWritten++;
       change.run();
@@ -516,8 +522,8 @@
   private final Map<RequestFingerprint, Suspect> rows = new LinkedHashMap<>();
   private final Set<SuspectAttempt> attemptRows = new LinkedHashSet<>();
   boolean storeDown;
-  long storeDisturbedUntilMillis = -CONTACT_MILLIS;
-  private int ends;
+  long storeDisturbedUntilMillis = -CONVERGENCE_MILLIS;
+  private int crashes;
   private int lostRuns;
   private int rowsWritten;
   private int attempts;
@@ -549,15 +555,15 @@
   private Result result() {
     int worst = 0;
     int innocents = 0;
-    int refused = 0;
+    int rejected = 0;
     int afterThirdCrash = 0;
     for (Contents each : contents) {
       afterThirdCrash += each.sendsAfterThirdEnd;
       worst = Math.max(worst, each.lateSends);
       innocents += each.guilty ? 0 : 1;
-      refused += !each.guilty && each.refused ? 1 : 0;
+      rejected += !each.guilty && each.rejected ? 1 : 0;
     }
-    return new Result(worst, ends, innocents, refused, lostRuns, afterThirdCrash, rowsWritten);
+    return new Result(worst, crashes, innocents, rejected, lostRuns, afterThirdCrash, rowsWritten);
   }
 
   private void arrive() {
@@ -586,7 +592,7 @@
     Node node = running.get(random.nextInt(running.size()));
     CallerRequest request = Requests.of("r" + ++attempts, "/path", what.body);
     if (node.quarantine.quarantined(request, "tenant").isPresent()) {
-      what.refused = true;
+      what.rejected = true;
       return;
     }
     node.choose().ifPresent(backend -> send(node, backend, what, request, attemptsLeft));
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulationTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineSimulationTest.java
@@ -64,11 +64,11 @@
 
   @Test(dataProvider = "plans")
   public void guiltyRequestsStopAndInnocentOnesGoOn(
-      String name, SimulationPlan plan, double mostRefused) {
+      String name, SimulationPlan plan, double maxRejectedShare) {
     int seeds = Math.max(1, SEEDS / (plan.waves().gapMillis() < 1_000 ? 2 : 1));
     int worst = 0;
     long innocents = 0;
-    long refused = 0;
+    long rejected = 0;
     long lost = 0;
     long crashes = 0;
     long afterThirdCrash = 0;
@@ -77,7 +77,7 @@
       QuarantineSimulation.Result result = new QuarantineSimulation(plan, seed).run();
       worst = Math.max(worst, result.worstLateSends());
       innocents += result.innocents();
-      refused += result.refusedInnocents();
+      rejected += result.refusedInnocents();
       lost += result.lost();
       crashes += result.ends();
       afterThirdCrash += result.sendsAfterThirdEnd();
@@ -93,8 +93,8 @@
             + innocents
             + ", their runs lost "
             + lost
-            + ", refused "
-            + refused
+            + ", rejected "
+            + rejected
             + ", late sends at most "
             + worst
             + ", sends after the third crash "
@@ -102,6 +102,7 @@
             + ", rows "
             + rows;
     Reporter.log(figures, true);
-    assertTrue(refused <= innocents * mostRefused, name + ": " + refused + " of " + innocents);
+    assertTrue(
+        rejected <= innocents * maxRejectedShare, name + ": " + rejected + " of " + innocents);
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineTest.java
@@ -27,13 +27,10 @@
 /**
  * Tests that a request that crashes one server after another is quarantined although no node
  * survives to confirm the crashes. Behind a proxy the address of a crashed server accepted
- * connections, and on a loaded machine it closed them later than a probe waits, so a crash was
- * known only when the server's record was gone, 2.4 to 6 s later, and only a single node had
- * observed it. Each such node was killed in that time (of three nodes, 0.1 to 4.3 s after the
- * connection had closed), and the next one did not know of it: the request was sent four to six
- * times after the third crash, in 4 of 12 runs under load. The logs of these nodes contained {@code
- * connection-lost address=ACCEPTS} for each of the crashes, and no {@code backend-ended} before the
- * process was gone.
+ * connections, and on a loaded machine closed them later than a probe waits, so a crash was known
+ * only when the server's record was gone, 2.4 to 6 s later. The only node that had observed it was
+ * killed in that time, 0.1 to 4.3 s after the connection had closed, and the next one did not know
+ * of it: the request was sent four to six times after the third crash, in 4 of 12 runs under load.
  */
 public final class QuarantineTest {
 
@@ -174,8 +171,8 @@
   }
 
   /**
-   * A connection broke first, and the server crashed later, under the next attempt of the same
-   * request.
+   * A connection broke first, and the server crashed later, while it ran the next attempt of the
+   * same request.
    */
   @Test
   public void aCrashAfterTheBackendWasLastKnownAliveStaysCounted() {
@@ -213,12 +210,12 @@
   }
 
   /**
-   * A server restarted under its id, and a node that had not read its new record sent the request
-   * to the previous incarnation. It ran on the next one and crashed that as well; the crash was
-   * attributed to the previous incarnation, so two crashes counted as one, were recorded in no row,
-   * and were lost when all nodes were killed 1.3 s later. The response had been arriving for 104 ms
-   * when the crash was observed, 2.9 s after the connections of the previous incarnation had
-   * closed.
+   * Guards against two crashes that count as one. A server restarted under its id, and a node that
+   * had not read its new record sent the request to the previous incarnation. The next incarnation
+   * ran the request and crashed too, but the crash was attributed to the previous one; so no row
+   * was written, and both crashes were lost when all nodes were killed 1.3 s later. The response
+   * had been arriving for 104 ms when the second crash was observed, 2.9 s after the connections of
+   * the previous incarnation had closed.
    *
    * <p>The cause: an attempt counted against the incarnation that its node had sent it to,
    * whichever incarnation ran it.
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectLedgerTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectLedgerTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests which requests are quarantined, given the crashes under them. */
+/** Tests which requests are quarantined, given the crashes of backends that ran them. */
 public final class SuspectLedgerTest {
 
   private static final long HOLD_MILLIS = 60_000;
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectRecorderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/SuspectRecorderTest.java
@@ -82,7 +82,9 @@
     assertEquals(rows.written.size(), 1, "written once");
   }
 
-  /** All nodes were killed between the first crash under a request and its second. */
+  /**
+   * All nodes were killed after the first crash of a backend that ran a request, before the second.
+   */
   @Test
   public void aFirstCrashIsRecordedAtOnceSoThatItOutlivesAllNodes() {
     learn(suspect(1, "a"));
