--- a/gateway/src/main/java/org/lockdale/gateway/cluster/DatagramDispatcher.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/DatagramDispatcher.java
@@ -32,7 +32,7 @@
  * @param limitClient receives heartbeats and the answers to admission queries
  * @param rates keeps requests within the rates of backends
  * @param placements receives the answers to placement queries
- * @param onSuspectReport receives requests during which backends crashed
+ * @param onSuspectReport receives requests that are suspected of crashing backends
  * @param onIncarnationsEnded receives the text forms of backend incarnations that have ended
  * @param onDraining receives the id of the sender and the text forms of backend incarnations that
  *     are draining
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/DatagramListener.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/DatagramListener.java
@@ -47,7 +47,7 @@
   /** Called when a relay answers an admission query of this node. */
   void onAdmissionAnswer(AdmissionAnswer answer);
 
-  /** Called when a node reports requests during which backends crashed. */
+  /** Called when a node reports requests that are suspected of crashing backends. */
   void onSuspectReport(SuspectReport report);
 
   /** Called when a node reports the rates that backends advertise. */
@@ -57,8 +57,8 @@
   void onRateGrant(String sender, RateGrant grant);
 
   /**
-   * Called when a relay answers a placement query of this node: no backend that could serve the
-   * request accepts more at present.
+   * Called when a relay answers a placement query of this node with a delay, since no backend that
+   * could serve the request accepts more at present.
    */
   void onPlacementDelay(String sender, PlacementDelay delay);
 
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/NodeRegistry.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/NodeRegistry.java
@@ -17,8 +17,8 @@
  * needed. Runs on one event loop; the list of peers may be read from any thread.
  *
  * <p>A node that restarts and finds its row in the table up to date does not announce itself at
- * once: if all N nodes restarted at the same moment, N announcements would each be read by all N,
- * in the seconds in which they have the least time for it.
+ * once: if all N nodes restarted at the same moment, N announcements would each be read by all N
+ * nodes, in the seconds in which these are busiest.
  */
 public final class NodeRegistry {
 
@@ -72,7 +72,7 @@
     announcing = true;
     if (isRowCurrent) {
       // A random delay, so that a node that restarts more often than the interval still renews its
-      // row at times.
+      // row occasionally.
       long delay = ThreadLocalRandom.current().nextLong(ANNOUNCE_INTERVAL_MILLIS);
       eventLoop.schedule(this::announce, delay, TimeUnit.MILLISECONDS);
     } else {
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/NodeReporter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/NodeReporter.java
@@ -28,7 +28,8 @@
 /**
  * Reports the load of this node's requests at the backends to the relays, by datagrams: soon after
  * the response to a request has started or the request has ended, and periodically while requests
- * are open. Notes may be added from any thread; everything else runs on one event loop.
+ * are open. Notes, such as the outcomes of attempts, may be added from any thread; everything else
+ * runs on one event loop.
  */
 public final class NodeReporter implements AttemptObserver {
 
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/PeerBroadcaster.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/PeerBroadcaster.java
@@ -16,7 +16,7 @@
  */
 public record PeerBroadcaster(NodeRegistry nodes, DatagramExchange datagrams) {
 
-  /** Broadcasts requests during which backends crashed. */
+  /** Broadcasts requests that are suspected of crashing backends. */
   public void broadcastSuspects(List<Suspect> suspects) {
     datagrams.send(
         peerAddresses(), new SuspectReport(suspects.stream().map(SuspectMessages::write).toList()));
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/PeerLoads.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/PeerLoads.java
@@ -29,7 +29,7 @@
   private final Map<String, Deque<PendingPlacement>> placementsByNode = new HashMap<>();
   private final Map<String, BackendWork> placedWorkByEngine = new HashMap<>();
 
-  /** Creates an empty table. */
+  /** Creates an instance without any load. */
   public PeerLoads(Time time) {
     this.time = time;
   }
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/PlacementClient.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/PlacementClient.java
@@ -233,7 +233,7 @@
   }
 
   /**
-   * Processes the message that the placement in the answer that follows is counted against the rate
+   * Processes a grant: the placement in the answer that follows has been counted against the rate
    * of its backend. A relay of an earlier version never sends it, nor does one that has just
    * started and has received no rates yet.
    */
@@ -244,7 +244,7 @@
     }
   }
 
-  /** Processes the answer that no backend that could serve the request accepts more at present. */
+  /** Processes a delay: no backend that could serve the request accepts more at present. */
   void onDelay(String sender, PlacementDelay delay) {
     PendingQuery pendingQuery = pending.get(delay.getNumber());
     if (pendingQuery != null && pendingQuery.relay().equals(sender)) {
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/PlacementResponder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/PlacementResponder.java
@@ -15,8 +15,8 @@
 public final class PlacementResponder {
 
   /**
-   * Allows for more numbers per millisecond than queries can arrive, so that no number repeats
-   * after a restart.
+   * Leaves more numbers for each millisecond than queries can arrive in it, so that no number
+   * repeats after a restart.
    */
   private static final int NUMBERS_PER_MILLISECOND_BITS = 10;
 
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/RateExchange.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/RateExchange.java
@@ -34,7 +34,7 @@
 import org.lockdale.protocol.generated.ShareReleased;
 
 /**
- * Keeps the requests of all nodes together within the rates that backends advertise. Each node
+ * Keeps the total of all nodes' requests within the rates that backends advertise. Each node
  * reports the rates that it reads from responses to the relays, the nodes elected to decide for
  * others, and lends its share of all rates to the coordinator, the relay that places its requests.
  * The coordinator broadcasts changed rates to all nodes. Sends nothing while no backend advertises
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/RelayElection.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/RelayElection.java
@@ -235,8 +235,8 @@
   /**
    * Returns the ids of the relays that may decide on limits, the most senior first; this node if
    * there is none. A relay without heartbeats is dropped sooner than for placement. One that no
-   * longer reaches the store is kept longer than the election counts it, since it can enforce
-   * limits without the store. If no relay reaches the store, all with recent heartbeats may decide.
+   * longer reaches the store is kept for longer than in the election, since it can enforce limits
+   * without the store. If no relay reaches the store, all with recent heartbeats may decide.
    *
    * @param maxSilenceMillis longest time since a relay's last heartbeat
    * @param nowMillis monotonic time
--- a/gateway/src/main/java/org/lockdale/gateway/node/BackendController.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/BackendController.java
@@ -122,7 +122,7 @@
   /**
    * Returns the records whose pool is configured; in a pool of engines, only those that run one of
    * its models. Other records may come from a foreign writer. A thousand of them would occupy the
-   * slots of a rollout and the connections that follow caches.
+   * slots of a rollout and the connections for cache events.
    */
   private List<Backend> inConfiguredPools() {
     GatewayConfiguration configuration = blackboard.configuration().value();
@@ -180,7 +180,8 @@
     markDraining.accept(after);
     scheduleNextPublish(now);
     if (after.sameRecordsAs(before)) {
-      // Rows have fields that records omit, such as the time of the backend's last heartbeat.
+      // Rows may also change in fields that records omit, such as the time of the backend's last
+      // heartbeat.
       blackboard.backends().publish(before, provenAtMillis);
       return;
     }
--- a/gateway/src/main/java/org/lockdale/gateway/node/ClusterObserver.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/ClusterObserver.java
@@ -16,7 +16,7 @@
 
 /**
  * Dispatches the rows of the cluster table: addresses of other nodes, times at which target
- * versions of weights were set, and requests that crashed backends.
+ * versions of weights were set, and requests that are suspected of crashing backends.
  */
 final class ClusterObserver implements TableFollower.Listener {
 
--- a/gateway/src/main/java/org/lockdale/gateway/node/ExpiredBackends.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/ExpiredBackends.java
@@ -18,9 +18,9 @@
  * <p>Records that are missing after an outage or a restore of the store are retained for {@link
  * #RETENTION_MILLIS}, except those of draining backends. A time without proofs is not enough to
  * infer an outage: a node that lost its relay nodes receives no proofs for seconds, while the store
- * still removes backends for other nodes. That node would send requests to removed backends for up
- * to twice the permitted time. Therefore a failure of the store must have been observed as well,
- * either by a call of this node or through a relay that reports an old proof. A state machine
+ * is reachable and backends are removed from it. That node would send requests to removed backends
+ * for up to twice the permitted time. Therefore a failure of the store must have been observed as
+ * well, either by a call of this node or through a relay that reports an old proof. A state machine
  * without I/O; not safe for use by several threads.
  */
 final class ExpiredBackends {
--- a/gateway/src/main/java/org/lockdale/gateway/node/GatewaySettings.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/GatewaySettings.java
@@ -95,7 +95,7 @@
           "Longest time for which a request waits on a node that has just started and has not yet"
               + " read the configuration and the backends; after that it is rejected as not run.");
 
-  /** Address on which readiness checks are answered. */
+  /** Address on which the node responds to readiness checks. */
   public static final Setting<InetSocketAddress> READINESS_ADDRESS =
       address("readiness.address", "Address on which the node responds to readiness checks.");
 
--- a/gateway/src/main/java/org/lockdale/gateway/node/LimitServices.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/LimitServices.java
@@ -21,7 +21,7 @@
 import org.lockdale.gateway.rate.BackendRates;
 
 /**
- * The services that keep the requests of all nodes together within the limits of tenants and the
+ * The services that keep the total of all nodes' requests within the limits of tenants and the
  * rates that backends advertise.
  */
 final class LimitServices {
--- a/gateway/src/main/java/org/lockdale/gateway/node/ReadinessHandler.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/ReadinessHandler.java
@@ -8,8 +8,8 @@
 import org.lockdale.http.HttpReply;
 
 /**
- * Answers readiness checks. A node is ready once it knows its configuration and at least one
- * backend, while it can accept more connections, and until it stops.
+ * Responds to readiness checks. A node is ready while it knows its configuration and at least one
+ * backend, can accept more connections, and is not stopping.
  */
 final class ReadinessHandler implements HttpHandler {
 
@@ -17,17 +17,17 @@
   private static final int NOT_READY = 503;
 
   private final GatewayBlackboard blackboard;
-  private final BooleanSupplier hasRoom;
+  private final BooleanSupplier hasSpareConnections;
 
   /**
    * Creates a handler.
    *
    * @param blackboard shared state of the node
-   * @param hasRoom whether more connections of callers can be accepted
+   * @param hasSpareConnections whether more connections of callers can be accepted
    */
-  ReadinessHandler(GatewayBlackboard blackboard, BooleanSupplier hasRoom) {
+  ReadinessHandler(GatewayBlackboard blackboard, BooleanSupplier hasSpareConnections) {
     this.blackboard = blackboard;
-    this.hasRoom = hasRoom;
+    this.hasSpareConnections = hasSpareConnections;
   }
 
   @Override
@@ -37,7 +37,7 @@
   }
 
   private boolean isReady() {
-    return hasRoom.getAsBoolean()
+    return hasSpareConnections.getAsBoolean()
         && !blackboard.phase().value().isEnding()
         && blackboard.configuration().value().isKnown()
         && !blackboard.backends().value().all().isEmpty();
--- a/gateway/src/main/java/org/lockdale/gateway/node/TableFollowers.java
+++ b/gateway/src/main/java/org/lockdale/gateway/node/TableFollowers.java
@@ -65,7 +65,8 @@
   }
 
   /**
-   * Returns the time without a proof of the backends' table after which the store is unreachable.
+   * Returns the time without a proof of the backends' table after which the store counts as
+   * unreachable.
    */
   static Duration outageThreshold(GatewaySettings settings) {
     return relaxedWait(settings).plus(OUTAGE_MARGIN);
--- a/gateway/src/main/java/org/lockdale/gateway/table/TableCopy.java
+++ b/gateway/src/main/java/org/lockdale/gateway/table/TableCopy.java
@@ -126,7 +126,7 @@
 
   /**
    * Returns whether the changes after a version are too large to send to each node, since they
-   * would saturate a link. Where this copy no longer holds the changes, they are all rows. By
+   * would saturate a link. Where this copy no longer holds the changes, all rows would be sent. By
    * calculation, that is 115 MB for 300 nodes if half of them lack one row of 3,000 after a restart
    * of all nodes. If 3,000 servers start together with 300 nodes, the changes alone are 230 MB.
    * Returns false for {@link #UNKNOWN}, with which nodes request all rows if they have no copy or
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/FleetPlacementTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/FleetPlacementTest.java
@@ -117,7 +117,7 @@
               candidates,
               Set.of(),
               prompt,
-              engine -> needOf(engine, prompt),
+              engine -> missingPrefixOf(engine, prompt),
               engine -> preferCurrent && due && !moved.contains(engine.backend().id()),
               engine -> false,
               engine -> false);
@@ -131,7 +131,7 @@
       time.schedule(LINK_MICROS, () -> send(sender, number, engine, prompt, runMicros));
     }
 
-    private MissingPrefix needOf(TrackedBackend engine, PromptPlacement prompt) {
+    private MissingPrefix missingPrefixOf(TrackedBackend engine, PromptPlacement prompt) {
       boolean holds =
           cachedKeys.getOrDefault(engine.backend().id(), Set.of()).contains(prompt.affinityKey());
       return new MissingPrefix(holds ? 0 : prompt.sharedTokens(), 0, 0);
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/RateSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/RateSimulation.java
@@ -254,7 +254,7 @@
 
     private void onAnswer(Node relay, Optional<RateLimitedBackend> chosen, boolean isGranted) {
       if (chosen.isEmpty()) {
-        refused++;
+        rejected++;
       } else if (isEarlierVersion || isGranted || tryCount(relay, chosen.get().id())) {
         run(chosen.get());
       } else {
@@ -290,7 +290,7 @@
     }
 
     private void decide() {
-      choose().ifPresentOrElse(this::run, () -> refused++);
+      choose().ifPresentOrElse(this::run, () -> rejected++);
     }
 
     private void run(RateLimitedBackend backend) {
@@ -342,7 +342,7 @@
   int oneLostIn = 100;
 
   int arrivedRequests;
-  int refused;
+  int rejected;
   long messages;
 
   RateSimulation(int nodeCount, int backendCount, long seed) {
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/RateSimulationTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/RateSimulationTest.java
@@ -48,7 +48,7 @@
   }
 
   /** The outcome of a simulation. */
-  private record Result(double worstExcess, double passed, double refused, long messages) {}
+  private record Result(double worstExcess, double passed, double rejected, long messages) {}
 
   @DataProvider
   public Object[][] sizes() {
@@ -109,19 +109,19 @@
   @Test(dataProvider = "sizes")
   public void whatTheRatesAllowIsUsedWithoutFaults(int nodes) {
     double passed = 0;
-    double refused = 0;
+    double rejected = 0;
     double messages = 0;
     for (int seed = 0; seed < SEEDS; seed++) {
       Result result = simulate(nodes, seed, Fault.NONE, Fault.NONE);
       passed += result.passed() / SEEDS;
-      refused += result.refused() / SEEDS;
+      rejected += result.rejected() / SEEDS;
       messages += result.messages() * 1_000.0 / (UNTIL - ADVERTISED_AT) / SEEDS;
     }
     System.out.printf(
-        "%d nodes without faults: passed %.3f, refused %.5f, rate messages per second %.0f%n",
-        nodes, passed, refused, messages);
+        "%d nodes without faults: passed %.3f, rejected %.5f, rate messages per second %.0f%n",
+        nodes, passed, rejected, messages);
     assertTrue(passed >= MIN_PASSED, "passed " + passed);
-    assertTrue(refused <= 0.001, "refused " + refused + " though other backends accept more");
+    assertTrue(rejected <= 0.001, "rejected " + rejected + " though other backends accept more");
   }
 
   private static Result simulate(int nodes, long seed, Fault first, Fault second) {
@@ -143,7 +143,7 @@
     return new Result(
         worst,
         served / allowed,
-        (double) simulation.refused / simulation.arrivedRequests,
+        (double) simulation.rejected / simulation.arrivedRequests,
         simulation.messages);
   }
 
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/RelayElectionTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/RelayElectionTest.java
@@ -78,8 +78,8 @@
     // Each node reads the clock a little late, so that no two nodes see the same time.
     long storeMillis = now + random.nextInt(3);
     node.election.tick(knownNodes, node.preferred, now, storeMillis);
-    boolean begins = node.election.isServing() && !wasServing;
-    if (node.election.isServing() && (begins || now - node.heartbeatAt >= HEARTBEAT)) {
+    boolean starts = node.election.isServing() && !wasServing;
+    if (node.election.isServing() && (starts || now - node.heartbeatAt >= HEARTBEAT)) {
       node.heartbeatAt = now;
       nodes.forEach(receiver -> deliver(node, receiver));
     }
@@ -181,8 +181,8 @@
     for (long seed = 0; seed < 50; seed++) {
       startNodes(30, 30, seed);
       run(5_000);
-      Node cut = serving().get(0);
-      cut.reachesStore = false;
+      Node disconnected = serving().get(0);
+      disconnected.reachesStore = false;
       run(8_000);
       long proven = serving().stream().filter(node -> node.reachesStore).count();
       assertEquals(proven, RelayElection.WANTED_RELAYS, "seed " + seed);
--- a/gateway/src/test/java/org/lockdale/gateway/table/TableFollowerTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/table/TableFollowerTest.java
@@ -210,7 +210,7 @@
     peerResponses.add(
         CompletableFuture.completedFuture(new TablePeers.Response(allRows, 1_100, 3)));
     assertTrue(announce(follower, 9));
-    assertEquals(nextCopy(), Map.of("c", "3"), "rows that the whole table lacks are removed");
+    assertEquals(nextCopy(), Map.of("c", "3"), "rows that the complete table lacks are removed");
   }
 
   @Test
