--- a/cli/src/test/java/org/lockdale/cli/RunOnceTest.java
+++ b/cli/src/test/java/org/lockdale/cli/RunOnceTest.java
@@ -85,7 +85,7 @@
 
   /** A repeated request gets the stored response at any node, and the request runs only once. */
   @Test
-  public void aRepeatGetsTheStoredAnswer() throws IOException, InterruptedException {
+  public void aRepeatGetsTheStoredResponse() throws IOException, InterruptedException {
     String first = sendAndReadAll(0, "k1", "redeem one", 4);
     assertTrue(first.contains(ResponseText.completeText(digest("redeem one"), 4)), first);
     ProcessCluster.await(
@@ -115,7 +115,7 @@
 
   /** If the engine crashes while it runs a request, the outcome is unknown, also for repeats. */
   @Test
-  public void anEngineThatDiesLeavesTheOutcomeUnknown() throws IOException, InterruptedException {
+  public void anEngineCrashLeavesTheOutcomeUnknown() throws IOException, InterruptedException {
     try (RawHttp http = send(0, "k3", "redeem four", LONG_RESPONSE_TOKENS)) {
       awaitRunning();
       cluster.engines().forEach(EngineServer::crash);
@@ -164,7 +164,7 @@
 
   /** A caller that disconnects gets the response of the only run when it repeats the request. */
   @Test
-  public void aCallerThatLeftGetsItsAnswerLater() throws IOException, InterruptedException {
+  public void aDisconnectedCallerGetsItsResponseLater() throws IOException, InterruptedException {
     try (RawHttp http = send(0, "k6", "redeem seven", LONG_RESPONSE_TOKENS)) {
       awaitRunning();
     }
--- a/cli/src/test/java/org/lockdale/cli/StockClientTest.java
+++ b/cli/src/test/java/org/lockdale/cli/StockClientTest.java
@@ -66,7 +66,7 @@
 
   /** A completion without streaming returns the complete text and its token count. */
   @Test
-  public void wholeAnswer() {
+  public void completeResponse() {
     OpenAIClient client = client("key-sm-malls");
     ChatCompletion completion =
         client.chat().completions().create(chatRequest("gift-llm", "what is left on card 9"));
--- a/coordination/src/test/java/org/lockdale/coordination/claim/RunOnceClaimsTest.java
+++ b/coordination/src/test/java/org/lockdale/coordination/claim/RunOnceClaimsTest.java
@@ -173,7 +173,7 @@
 
   /** A key that was used with one request body is rejected with another one. */
   @Test
-  public void aKeyStandsForOneBody() {
+  public void aKeyIsValidForOneBodyOnly() {
     Contest contest = new Contest(1, true);
     ClaimRecord first =
         new ClaimRecord(
--- a/coordination/src/test/java/org/lockdale/coordination/lease/LeaseTest.java
+++ b/coordination/src/test/java/org/lockdale/coordination/lease/LeaseTest.java
@@ -289,7 +289,7 @@
   }
 
   @Test
-  public void rowsThatAreSpoiltLetNoTwoHoldersActAndStopNobodyForEver() {
+  public void unreadableRowsViolateNoGuardAndBlockTheLeaseForAWhileOnly() {
     for (long seed = 0; seed < SEEDS; seed++) {
       Simulation simulation = new Simulation(seed, GUARD).withUnreadableRows();
       List<Action> actions = simulation.run();
@@ -305,7 +305,7 @@
    * reached 100 again.
    */
   @Test
-  public void aStoreThatComesBackFromCopiesLetsNoTwoHoldersActAndFencesOnlyRise() {
+  public void restoresOfTheStoreViolateNoGuardAndFencingTokensNeverDecrease() {
     int acted = 0;
     for (long seed = 0; seed < SEEDS; seed++) {
       Simulation simulation = new Simulation(seed, GUARD).withRestores();
--- a/coordination/src/test/java/org/lockdale/coordination/time/SystemTimeTest.java
+++ b/coordination/src/test/java/org/lockdale/coordination/time/SystemTimeTest.java
@@ -36,7 +36,7 @@
   }
 
   @Test
-  public void timePassesAsBothClocksTell() {
+  public void timePassesAsOnBothClocks() {
     long before = time.monotonicMillis();
     pass(2_500);
     assertEquals(time.monotonicMillis() - before, 2_500);
--- a/emulator/src/main/java/org/lockdale/emulator/engine/EngineModel.java
+++ b/emulator/src/main/java/org/lockdale/emulator/engine/EngineModel.java
@@ -346,7 +346,7 @@
   /**
    * Returns the number of leading blocks of a chain that are held; experiments use it as an oracle.
    */
-  public int cachedPrefix(PrefixChain chain) {
+  public int cachedPrefixLength(PrefixChain chain) {
     return cache.heldPrefixLength(chain);
   }
 
--- a/emulator/src/test/java/org/lockdale/emulator/engine/EngineModelTest.java
+++ b/emulator/src/test/java/org/lockdale/emulator/engine/EngineModelTest.java
@@ -177,7 +177,7 @@
     assertEquals(ran.get(1).cachedTokens(), 10 * TOKENS_PER_BLOCK - 1);
     submit("large", 40, 1);
     runSteps(100);
-    assertEquals(engine.cachedPrefix(request("x", 40, 1).chain()), 20);
+    assertEquals(engine.cachedPrefixLength(request("x", 40, 1).chain()), 20);
   }
 
   /** Cache events are delayed and partly lost; load reports lag. */
@@ -217,7 +217,7 @@
     assertNull(engine.exportBlock(chain.hashAt(0)));
     engine.importBlock(chain.hashAt(0), "t|m|v1");
     assertEquals(engine.exportBlock(chain.hashAt(0)), "t|m|v1");
-    assertEquals(engine.cachedPrefix(chain), 1);
+    assertEquals(engine.cachedPrefixLength(chain), 1);
   }
 
   /** A reuse of a block for another owner is counted. */
--- a/emulator/src/test/java/org/lockdale/emulator/history/HistoryCheckerTest.java
+++ b/emulator/src/test/java/org/lockdale/emulator/history/HistoryCheckerTest.java
@@ -66,7 +66,7 @@
 
   /** Each invalid history gives exactly the expected violation. */
   @Test(dataProvider = "invalidHistories")
-  public void isRefused(List<HistoryEvent> history, String reason) {
+  public void violationIsDetected(List<HistoryEvent> history, String reason) {
     Verdict verdict = HistoryChecker.check(history);
     assertEquals(verdict.violations().size(), 1, verdict.violations().toString());
     assertTrue(verdict.violations().get(0).contains(reason), verdict.violations().toString());
@@ -74,7 +74,7 @@
 
   /** A valid history passes, also after it was written to a file and read back. */
   @Test
-  public void aGoodHistoryPasses() throws IOException {
+  public void validHistoryPasses() throws IOException {
     List<HistoryEvent> history = new ArrayList<>();
     history.add(run("e1", "request-1", 0));
     history.add(call(CallEnd.COMPLETE, "k", COMPLETE_TEXT));
--- a/experiments/src/main/java/org/lockdale/experiments/SimulatedEngine.java
+++ b/experiments/src/main/java/org/lockdale/experiments/SimulatedEngine.java
@@ -69,7 +69,7 @@
 
   /** Returns the number of a chain's blocks in the actual cache; only the oracle may read it. */
   int actualCachedBlocks(PrefixChain chain) {
-    return model.cachedPrefix(chain);
+    return model.cachedPrefixLength(chain);
   }
 
   /** Returns the prompt tokens actually left to compute; only the oracle may read it. */
--- a/gateway/src/main/java/org/lockdale/gateway/backend/BackendHealth.java
+++ b/gateway/src/main/java/org/lockdale/gateway/backend/BackendHealth.java
@@ -93,14 +93,14 @@
   }
 
   /** Records a valid response. It ends an ejection, but not a pause after rejections. */
-  public void succeeded() {
+  public void recordSuccess() {
     failuresInRow.set(0);
     ejectedUntilMillis.set(Long.MIN_VALUE);
     failureRate.updateAndGet(FailureRate::succeeded);
   }
 
   /** Records a request that got no valid response. */
-  public void failed(long nowMillis) {
+  public void recordFailure(long nowMillis) {
     failureRate.updateAndGet(before -> before.failed(nowMillis));
     int failures = failuresInRow.incrementAndGet();
     if (failures >= FAILURES_TO_EJECT) {
@@ -114,7 +114,7 @@
    * earlier requests don't end the pause, since an engine completes its running requests while it
    * accepts no new ones.
    */
-  public void rejected(long nowMillis) {
+  public void recordRejection(long nowMillis) {
     rejections.updateAndGet(before -> before.next(nowMillis));
   }
 
@@ -123,7 +123,7 @@
   }
 
   /** Records that no connection could be established. */
-  public void unreachable(long nowMillis) {
+  public void recordUnreachable(long nowMillis) {
     failureRate.updateAndGet(before -> before.failed(nowMillis));
     eject(nowMillis, failuresInRow.incrementAndGet() - 1);
   }
--- a/gateway/src/main/java/org/lockdale/gateway/cache/CachePlanner.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cache/CachePlanner.java
@@ -68,7 +68,7 @@
    * @param availability availability of the shared parts
    * @param nowMillis monotonic time in milliseconds
    */
-  public MissingPrefix need(
+  public MissingPrefix missingPrefix(
       TrackedBackend engine, PrefixAvailability availability, long nowMillis) {
     HeldParts held = directory.engine(engine.backend().id());
     return availability.missingFrom(expectedDepth(held, availability.keys(), nowMillis));
@@ -93,7 +93,7 @@
       return CacheTransfer.NONE;
     }
     InetSocketAddress source = sourceOf(target, others, keys);
-    MissingPrefix need = need(target, availability, nowMillis);
+    MissingPrefix need = missingPrefix(target, availability, nowMillis);
     HeldParts held = directory.engine(target.backend().id());
     keys.forEach(key -> held.expect(key, nowMillis));
     if (need.computed() >= MIN_ANNOUNCED_TOKENS) {
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/LimitResponder.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/LimitResponder.java
@@ -142,7 +142,7 @@
     long now = time.monotonicMillis();
     long suspended = time.suspendedMillis();
     if (suspended > suspendedMillis) {
-      buckets.suspended(suspended - suspendedMillis);
+      buckets.excludeSuspension(suspended - suspendedMillis);
       suspendedMillis = suspended;
     }
     return now;
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/PlacementClient.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/PlacementClient.java
@@ -323,7 +323,7 @@
   }
 
   @Override
-  public void opened(Placement placement) {
+  public void recordOpened(Placement placement) {
     Placement.Origin origin = placement.origin();
     if (origin != null) {
       context.reporter().noteOpened(origin.relay(), origin.number());
--- a/gateway/src/main/java/org/lockdale/gateway/cluster/ReportReceiver.java
+++ b/gateway/src/main/java/org/lockdale/gateway/cluster/ReportReceiver.java
@@ -89,9 +89,9 @@
       return;
     }
     switch (outcome.getVerdict()) {
-      case SUCCEEDED -> tracked.health().succeeded();
-      case REJECTED -> tracked.health().rejected(time.monotonicMillis());
-      default -> tracked.health().failed(time.monotonicMillis());
+      case SUCCEEDED -> tracked.health().recordSuccess();
+      case REJECTED -> tracked.health().recordRejection(time.monotonicMillis());
+      default -> tracked.health().recordFailure(time.monotonicMillis());
     }
   }
 }
--- a/gateway/src/main/java/org/lockdale/gateway/limit/TenantBuckets.java
+++ b/gateway/src/main/java/org/lockdale/gateway/limit/TenantBuckets.java
@@ -210,7 +210,7 @@
    *
    * @param millis duration of the suspension, in milliseconds
    */
-  public void suspended(long millis) {
+  public void excludeSuspension(long millis) {
     updatedAtMillis += millis;
   }
 
--- a/gateway/src/main/java/org/lockdale/gateway/placement/BackendChooser.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/BackendChooser.java
@@ -161,7 +161,7 @@
     return cheapest(
         available,
         candidate ->
-            promptCost(candidate, request.needOf().apply(candidate), candidate == home)
+            promptCost(candidate, request.missingPrefixOf().apply(candidate), candidate == home)
                 + sharedCost(candidate, request.zone(), nowMillis)
                 + (preferredSet.contains(candidate) ? 0 : NON_PREFERRED_COST)
                 + (currentFirst && request.outdated().test(candidate) ? OUTDATED_COST : 0));
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PlacementDecider.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PlacementDecider.java
@@ -259,7 +259,7 @@
     }
 
     private MissingPrefix needOf(TrackedBackend candidate) {
-      return cachePlanner.need(candidate, availabilityFor(candidate), nowMillis);
+      return cachePlanner.missingPrefix(candidate, availabilityFor(candidate), nowMillis);
     }
 
     private PrefixAvailability availabilityFor(TrackedBackend candidate) {
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PlacementRequest.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PlacementRequest.java
@@ -16,7 +16,7 @@
  * @param candidates backends that may serve the request
  * @param excluded ids of backends that must not be chosen, such as those already tried
  * @param prompt the prompt, or null for a request without one
- * @param needOf estimates which of the prompt's shared parts a candidate lacks
+ * @param missingPrefixOf estimates which of the prompt's shared parts a candidate lacks
  * @param outdated accepts candidates that may serve but hold outdated weights
  * @param atRateLimit accepts candidates that have reached their rate limit. They keep the prefixes
  *     they are home to, so that a temporary limit moves none
@@ -29,7 +29,7 @@
     List<TrackedBackend> candidates,
     Set<String> excluded,
     @Nullable PromptPlacement prompt,
-    Function<TrackedBackend, MissingPrefix> needOf,
+    Function<TrackedBackend, MissingPrefix> missingPrefixOf,
     Predicate<TrackedBackend> outdated,
     Predicate<TrackedBackend> atRateLimit,
     Predicate<TrackedBackend> backingOff) {
--- a/gateway/src/main/java/org/lockdale/gateway/placement/PlacementService.java
+++ b/gateway/src/main/java/org/lockdale/gateway/placement/PlacementService.java
@@ -9,5 +9,5 @@
   CompletableFuture<PlacementResult> place(PlacementQuery query);
 
   /** Records that a placed request is included in the reported load of its backend from now on. */
-  void opened(Placement placement);
+  void recordOpened(Placement placement);
 }
--- a/gateway/src/main/java/org/lockdale/gateway/request/AttemptReporter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/AttemptReporter.java
@@ -51,13 +51,13 @@
       state.sends++;
     }
     switch (result) {
-      case COMPLETE -> health.succeeded();
+      case COMPLETE -> health.recordSuccess();
       case WITHDRAWN -> path.announcements().countWithdrawal();
-      case NOT_SENT -> health.unreachable(now);
-      case NOT_RUN, MISDIRECTED -> health.rejected(now);
+      case NOT_SENT -> health.recordUnreachable(now);
+      case NOT_RUN, MISDIRECTED -> health.recordRejection(now);
       default -> {
         if (!isCausedByRequest(attempt)) {
-          health.failed(now);
+          health.recordFailure(now);
         }
       }
     }
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestExecution.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestExecution.java
@@ -177,7 +177,7 @@
             () -> onFirstEvent(place, sentAtMillis),
             this::onConcluded);
     current = attempt;
-    path.placements().opened(placement);
+    path.placements().recordOpened(placement);
     reporter.onSending(attempt);
     attempt.start(path.client(), path.maxConnectionsTo(state));
     AttemptMonitor monitor = new AttemptMonitor(state, attempt, () -> !ended && attempt == current);
@@ -223,7 +223,7 @@
     attempt.cancel();
     reporter.onLost(attempt, LostAttempt.Loss.SILENT);
     removeFromQueue(false);
-    attempt.target().health().failed(path.nowMillis());
+    attempt.target().health().recordFailure(path.nowMillis());
     path.client().closeIdleConnections(attempt.target().backend().address());
     path.report(attempt.target(), AttemptResult.FAILED);
     state.possibleRuns++;
@@ -350,7 +350,7 @@
       reporter.onLost(attempt, LostAttempt.Loss.GIVEN_UP);
       path.workChanged();
       state.possibleRuns++;
-      attempt.target().health().failed(path.nowMillis());
+      attempt.target().health().recordFailure(path.nowMillis());
     }
     if (state.responseStarted) {
       state.exchange.abort();
--- a/gateway/src/main/java/org/lockdale/gateway/request/RequestPath.java
+++ b/gateway/src/main/java/org/lockdale/gateway/request/RequestPath.java
@@ -340,7 +340,7 @@
 
   void ended(RequestState state, String outcome) {
     openRequests.decrementAndGet();
-    endedRequests.ended(outcome);
+    endedRequests.count(outcome);
     boolean late = state.route != null && state.isLateStream();
     if (late || !outcome.equals(COMPLETE)) {
       Logger.info(
--- a/gateway/src/main/java/org/lockdale/gateway/usage/RequestCounter.java
+++ b/gateway/src/main/java/org/lockdale/gateway/usage/RequestCounter.java
@@ -8,21 +8,21 @@
 /** Counts requests by outcome. Thread-safe. */
 public final class RequestCounter {
 
-  private final Map<String, LongAdder> ended = new ConcurrentHashMap<>();
+  private final Map<String, LongAdder> count = new ConcurrentHashMap<>();
 
   /**
    * Counts a request.
    *
    * @param outcome name of the outcome; names are constants of the code, so there are few
    */
-  public void ended(String outcome) {
-    ended.computeIfAbsent(outcome, name -> new LongAdder()).increment();
+  public void count(String outcome) {
+    count.computeIfAbsent(outcome, name -> new LongAdder()).increment();
   }
 
   /** Returns the number of requests so far, by outcome. */
   public Map<String, Long> totals() {
     Map<String, Long> totals = new TreeMap<>();
-    ended.forEach((outcome, count) -> totals.put(outcome, count.sum()));
+    count.forEach((outcome, count) -> totals.put(outcome, count.sum()));
     return totals;
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/backend/BackendHealthTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/backend/BackendHealthTest.java
@@ -19,7 +19,7 @@
 
   /** Records a rejection and returns the monotonic time from which requests are sent again. */
   private long pauseFrom(long rejectedAtMillis) {
-    health.rejected(rejectedAtMillis);
+    health.recordRejection(rejectedAtMillis);
     long millis = rejectedAtMillis;
     while (health.isEjected(millis)) {
       millis++;
@@ -38,9 +38,9 @@
 
   @Test
   public void rejectionsOfRequestsInFlightDoNotLengthenThePause() {
-    health.rejected(0);
+    health.recordRejection(0);
     for (int millis = 0; millis < 20; millis++) {
-      health.rejected(millis);
+      health.recordRejection(millis);
     }
     assertFalse(health.isEjected(150));
     assertEquals(pauseFrom(150), 450);
@@ -55,8 +55,8 @@
 
   @Test
   public void anEngineThatRejectsWhileItCompletesEarlierRequestsStaysPaused() {
-    health.rejected(0);
-    health.succeeded();
+    health.recordRejection(0);
+    health.recordSuccess();
     assertTrue(health.isEjected(100));
   }
 }
--- a/gateway/src/test/java/org/lockdale/gateway/cache/CachePlannerTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cache/CachePlannerTest.java
@@ -152,7 +152,7 @@
   }
 
   private MissingPrefix need(TrackedBackend engine, long now) {
-    return planner.need(engine, planner.locate(engines, "1", PARTS, now), now);
+    return planner.missingPrefix(engine, planner.locate(engines, "1", PARTS, now), now);
   }
 
   private CacheTransfer plan(String namespace, long now) {
@@ -199,7 +199,7 @@
     storeKeeps("root", "deep");
     assertEquals(need(other, 0), new MissingPrefix(3_000, 0, 0));
     PrefixAvailability availability = planner.locate(engines, "2", PARTS, 0);
-    assertEquals(planner.need(other, availability, 0), new MissingPrefix(0, 0, 3_000));
+    assertEquals(planner.missingPrefix(other, availability, 0), new MissingPrefix(0, 0, 3_000));
     assertEquals(
         plan("2", 0),
         new CacheTransfer(STORE, STORE),
--- a/gateway/src/test/java/org/lockdale/gateway/cluster/RelayElectionTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/cluster/RelayElectionTest.java
@@ -195,7 +195,7 @@
    * serve by then.
    */
   @Test
-  public void relaysThatTheStoreTurnsAwayAreReplacedBeforeProofsAreTooOld() {
+  public void relaysThatTheStoreRejectsAreReplacedBeforeProofsAreTooOld() {
     for (long seed = 0; seed < 200; seed++) {
       startNodes(100, 15, seed);
       run(8_000);
--- a/gateway/src/test/java/org/lockdale/gateway/limit/LimitSimulation.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/LimitSimulation.java
@@ -493,7 +493,7 @@
   }
 
   /** Returns the relay that most nodes use, which is the one with the largest sum of shares. */
-  Node coordinator() {
+  Node limitRelay() {
     return nodes.stream()
         .filter(node -> node.up && node.election.isServing())
         .max((a, b) -> Double.compare(a.buckets.share(a.clock()), b.buckets.share(b.clock())))
--- a/gateway/src/test/java/org/lockdale/gateway/limit/LimitSimulationTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/LimitSimulationTest.java
@@ -105,14 +105,14 @@
 
   private static void inject(LimitSimulation simulation, Fault fault) {
     switch (fault) {
-      case RELAY_KILLED -> restart(simulation, simulation.coordinator(), 3_500);
-      case RELAY_FROZEN -> simulation.coordinator().freeze(4_000);
+      case RELAY_KILLED -> restart(simulation, simulation.limitRelay(), 3_500);
+      case RELAY_FROZEN -> simulation.limitRelay().freeze(4_000);
       case RELAY_WITHOUT_STORE -> {
-        LimitSimulation.Node relay = simulation.coordinator();
+        LimitSimulation.Node relay = simulation.limitRelay();
         relay.reachesStore = false;
         simulation.after(6_000, () -> relay.reachesStore = true);
       }
-      case RELAY_PARTITIONED -> partition(simulation, simulation.coordinator(), 1_000);
+      case RELAY_PARTITIONED -> partition(simulation, simulation.limitRelay(), 1_000);
       case STORE_DOWN -> {
         simulation.storeUp = false;
         simulation.after(9_000, () -> simulation.storeUp = true);
--- a/gateway/src/test/java/org/lockdale/gateway/limit/TenantBucketsTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/limit/TenantBucketsTest.java
@@ -165,7 +165,7 @@
     TenantBuckets buckets = buckets();
     buckets.lent("a", 0.25, FOREVER, 0);
     buckets.lent("b", 0.25, 4_000, 0);
-    buckets.suspended(5_000);
+    buckets.excludeSuspension(5_000);
     assertEquals(buckets.share(5_100), 0.25);
     assertFalse(takes(buckets, 51, 5_100));
   }
--- a/gateway/src/test/java/org/lockdale/gateway/placement/BackendChooserTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/placement/BackendChooserTest.java
@@ -180,7 +180,7 @@
   @Test
   public void excludedAndEjectedBackendsAreAvoidedWhileThereAreOthers() {
     List<TrackedBackend> engines = engines(3);
-    engines.get(0).health().unreachable(0);
+    engines.get(0).health().recordUnreachable(0);
     Set<String> excluded = Set.of("i-1");
     for (int request = 0; request < 20; request++) {
       TrackedBackend chosen = place(engines, excluded, prompt("p" + request), 1).orElseThrow();
@@ -210,7 +210,7 @@
   public void aBackendThatRequestedABackoffIsNotChosenEvenIfNoOtherIsHealthy() {
     List<TrackedBackend> engines = engines(2);
     Set<TrackedBackend> backingOff = Set.of(engines.get(0));
-    engines.get(1).health().unreachable(0);
+    engines.get(1).health().recordUnreachable(0);
     for (int request = 0; request < 20; request++) {
       PromptPlacement prompt = prompt("p" + request);
       assertEquals(placeWithBackoff(backingOff, engines, prompt).orElseThrow(), engines.get(1));
@@ -259,9 +259,9 @@
         open.remove().end();
       }
       if (random.nextDouble() < failing[backends.indexOf(chosen)]) {
-        chosen.health().failed(now);
+        chosen.health().recordFailure(now);
       } else {
-        chosen.health().succeeded();
+        chosen.health().recordSuccess();
       }
     }
     open.forEach(BackendLoad.Share::end);
--- a/gateway/src/test/java/org/lockdale/gateway/placement/PlacementDeciderTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/placement/PlacementDeciderTest.java
@@ -109,7 +109,7 @@
         excluded.add(id);
       }
       if (random.nextInt(4) == 0) {
-        tracked.health().unreachable(NOW);
+        tracked.health().recordUnreachable(NOW);
       }
       if (random.nextInt(4) == 0) {
         moving.add(id);
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/QuarantineTest.java
@@ -221,7 +221,7 @@
    * whichever incarnation ran it.
    */
   @Test
-  public void whatRanAtTheNextLifeIsNoPartOfTheFormerOnesEnd() {
+  public void aCrashOfTheNextIncarnationIsNotAttributedToThePreviousOne() {
     lose(0, LostAttempt.Loss.CLOSED);
     time.runMillis(2_900);
     String next = "i-0@2";
--- a/gateway/src/test/java/org/lockdale/gateway/quarantine/RequestFingerprintTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/quarantine/RequestFingerprintTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  public void pathQueryCallerAndBodyTellRequestsApart() {
+  public void pathQueryCallerAndBodyDistinguishRequests() {
     RequestFingerprint first = of("r1", "/a?b=1", "body", "tenant");
     assertNotEquals(of("r1", "/a", "body", "tenant"), first);
     assertNotEquals(of("r1", "/a?b=2", "body", "tenant"), first);
--- a/gateway/src/test/java/org/lockdale/gateway/weights/RolloutSlotsTest.java
+++ b/gateway/src/test/java/org/lockdale/gateway/weights/RolloutSlotsTest.java
@@ -43,14 +43,14 @@
   @Test
   public void anEngineWhoseLastAttemptsFailedIsSuspectedUntilItResponds() {
     BackendTable table = BackendTable.EMPTY.with(List.of(engine("a"), engine("b"), engine("c")));
-    table.all().iterator().next().health().failed(0);
+    table.all().iterator().next().health().recordFailure(0);
     assertEquals(
         RolloutSlots.of(table),
         new RolloutSlots(2, 1),
         "a single failure may be due to the request itself");
-    table.all().iterator().next().health().failed(0);
+    table.all().iterator().next().health().recordFailure(0);
     assertEquals(RolloutSlots.of(table), new RolloutSlots(1, 1));
-    table.all().iterator().next().health().succeeded();
+    table.all().iterator().next().health().recordSuccess();
     assertEquals(RolloutSlots.of(table), new RolloutSlots(2, 1));
   }
 
--- a/http/src/test/java/org/lockdale/http/HttpClientTest.java
+++ b/http/src/test/java/org/lockdale/http/HttpClientTest.java
@@ -117,7 +117,7 @@
    * stayed in the pool, each of them would make one call time out.
    */
   @Test
-  public void afterACallWithoutAnAnswerNoOlderConnectionIsUsed() throws Exception {
+  public void afterACallWithoutAReplyNoOlderConnectionIsUsed() throws Exception {
     try (SilentPeer peer = new SilentPeer()) {
       HttpClient client = new HttpClient(group);
       List<CompletableFuture<HttpReply>> calls = new ArrayList<>();
--- a/protocol/src/test/java/org/lockdale/protocol/MessageCodecTest.java
+++ b/protocol/src/test/java/org/lockdale/protocol/MessageCodecTest.java
@@ -87,7 +87,7 @@
 
   /** A message of an earlier schema without a field is read with the default of the field. */
   @Test
-  public void theVersionBeforeIsUnderstood() throws IOException {
+  public void messagesOfTheVersionBeforeCanBeRead() throws IOException {
     String earlierJson = MemberUpdate.getClassSchema().toString().replace(NEW_FIELD, "");
     Schema old = new Schema.Parser().parse(earlierJson);
     assertEquals(old.getFields().size(), MemberUpdate.getClassSchema().getFields().size() - 1);
--- a/settings/src/test/java/org/lockdale/settings/TreesTest.java
+++ b/settings/src/test/java/org/lockdale/settings/JsonTreesTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.Test;
 
 /** Tests that trees are read and written in the same way as by an object mapper. */
-public final class TreesTest {
+public final class JsonTreesTest {
 
   private static final JsonFactory JSON = new JsonFactory();
 
--- a/soak/src/test/java/org/lockdale/soak/plan/FaultPlanTest.java
+++ b/soak/src/test/java/org/lockdale/soak/plan/FaultPlanTest.java
@@ -42,7 +42,7 @@
   }
 
   @Test
-  public void fiftySeedsBringEveryKindOfTrouble() {
+  public void fiftySeedsContainEveryKindOfFault() {
     Set<Object> kinds =
         LongStream.range(0, 50)
             .mapToObj(FaultPlanTest::draw)
