--- a/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectLedger.java
+++ b/gateway/src/main/java/org/lockdale/gateway/quarantine/SuspectLedger.java
@@ -36,9 +36,9 @@
 
   /**
    * Weight from which a request is quarantined while many requests reach three crashes: that of
-   * five such crashes. Servers that crash all the time crash under any request, and innocent ones
-   * would be quarantined. The two further sends after the third crash are within the three that the
-   * deployments tolerate.
+   * five such crashes. Servers that crash all the time do so whatever requests they run, and
+   * innocent requests would be quarantined. The two further sends after the third crash are within
+   * the three that the deployments tolerate.
    */
   private static final int QUARANTINE_WEIGHT_IN_CROWD = 15;
 
